--- a/crates/admission/benches/connections.rs
+++ b/crates/admission/benches/connections.rs
@@ -3,7 +3,7 @@
 //! Counts of a whole life: it comes, its request is read, a text is taken on, it rests, it ends.
 
 use indigomast::time::{Moment, Span};
-use indigomast_admission::{Connections, Event, Number, Settings, State, Worth};
+use indigomast_admission::{ConnectionNumber, Connections, Event, Priority, Settings, State};
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Instant;
 
@@ -19,17 +19,17 @@
     IpAddr::from(Ipv4Addr::from(0x0a00_0000 + (n % 60_000) as u32))
 }
 
-fn settings(places: usize) -> Settings {
+fn settings(max_connections: usize) -> Settings {
     Settings {
-        places,
-        reserve: places / 10,
-        per_address: 64,
-        per_prefix: 512,
-        new_a_second: 1000.0,
-        new_at_once: 1000.0,
+        max_connections,
+        reserved_for_known: max_connections / 10,
+        max_per_address: 64,
+        max_per_prefix: 512,
+        new_per_second: 1000.0,
+        new_burst: 1000.0,
         known_for: Span::millis(3_600_000),
-        addresses: 4096,
-        pause: Span::millis(500),
+        max_remembered: 4096,
+        stalled_after: Span::millis(500),
         ..Settings::default()
     }
 }
@@ -43,38 +43,57 @@
         for n in 0..open as u64 {
             connections.step(
                 at(n),
-                Event::Comes { number: Number(n), address: address(n * 7), worth: Worth::Unknown },
+                Event::Arrived {
+                    number: ConnectionNumber(n),
+                    address: address(n * 7),
+                    priority: Priority::Unknown,
+                },
+            );
+            connections.step(
+                at(n),
+                Event::StateChanged { number: ConnectionNumber(n), state: State::AwaitingResponse },
             );
-            connections.step(at(n), Event::Enters { number: Number(n), state: State::Answered });
         }
         let held = before.zip(resident()).map(|(before, after)| after.saturating_sub(before) / open as u64);
         let began = Instant::now();
         for n in 1_000_000..1_000_000 + LIVES {
-            let number = Number(n);
-            let event = Event::Comes { number, address: address(n), worth: Worth::Unknown };
+            let number = ConnectionNumber(n);
+            let event = Event::Arrived { number, address: address(n), priority: Priority::Unknown };
             std::hint::black_box(connections.step(at(n), event));
-            connections.step(at(n), Event::Enters { number, state: State::Answered });
-            connections.step(at(n), Event::HandedIn { number });
-            connections.step(at(n), Event::Enters { number, state: State::Resting });
-            connections.step(at(n), Event::Ended { number });
+            connections.step(at(n), Event::StateChanged { number, state: State::AwaitingResponse });
+            connections.step(at(n), Event::TextAccepted { number });
+            connections.step(at(n), Event::StateChanged { number, state: State::Idle });
+            connections.step(at(n), Event::Closed { number });
         }
         let life = began.elapsed().as_nanos() as u64 / LIVES;
-        let mut full =
-            Connections::new(Settings { places: open, per_address: 0, per_prefix: 0, ..settings(open) });
+        let mut full = Connections::new(Settings {
+            max_connections: open,
+            max_per_address: 0,
+            max_per_prefix: 0,
+            ..settings(open)
+        });
         for n in 0..open as u64 {
             full.step(
                 at(0),
-                Event::Comes { number: Number(n), address: address(n * 7), worth: Worth::Unknown },
+                Event::Arrived {
+                    number: ConnectionNumber(n),
+                    address: address(n * 7),
+                    priority: Priority::Unknown,
+                },
+            );
+            full.step(
+                at(0),
+                Event::StateChanged { number: ConnectionNumber(n), state: State::AwaitingResponse },
             );
-            full.step(at(0), Event::Enters { number: Number(n), state: State::Answered });
         }
         let began = Instant::now();
         for n in 1_000_000..1_000_000 + LIVES {
-            let event = Event::Comes { number: Number(n), address: address(n), worth: Worth::Text };
+            let event =
+                Event::Arrived { number: ConnectionNumber(n), address: address(n), priority: Priority::Text };
             std::hint::black_box(full.step(at(n), event));
         }
-        let turned_away = began.elapsed().as_nanos() as u64 / LIVES;
+        let rejected = began.elapsed().as_nanos() as u64 / LIVES;
         let held = held.map_or("-".to_owned(), |bytes| bytes.to_string());
-        println!("{open:>8} {life:>16} {turned_away:>16} {held:>16}");
+        println!("{open:>8} {life:>16} {rejected:>16} {held:>16}");
     }
 }
--- a/crates/admission/src/budget.rs
+++ b/crates/admission/src/budget.rs
@@ -13,7 +13,7 @@
     Accept,
     Gateway,
     /// The log, the list, the notices and the standard streams.
-    House,
+    Internal,
 }
 
 const PURPOSES: usize = 4;
@@ -24,7 +24,7 @@
             Purpose::Client => 0,
             Purpose::Accept => 1,
             Purpose::Gateway => 2,
-            Purpose::House => 3,
+            Purpose::Internal => 3,
         }
     }
 }
@@ -32,15 +32,15 @@
 /// What a purpose is sure of, and what it may use at most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shares {
-    pub least: [usize; PURPOSES],
-    pub most: [usize; PURPOSES],
+    pub guaranteed: [usize; PURPOSES],
+    pub max: [usize; PURPOSES],
 }
 
 impl Shares {
     pub fn new(of: impl Fn(Purpose) -> (usize, usize)) -> Shares {
-        let mut shares = Shares { least: [0; PURPOSES], most: [0; PURPOSES] };
-        for purpose in [Purpose::Client, Purpose::Accept, Purpose::Gateway, Purpose::House] {
-            (shares.least[purpose.index()], shares.most[purpose.index()]) = of(purpose);
+        let mut shares = Shares { guaranteed: [0; PURPOSES], max: [0; PURPOSES] };
+        for purpose in [Purpose::Client, Purpose::Accept, Purpose::Gateway, Purpose::Internal] {
+            (shares.guaranteed[purpose.index()], shares.max[purpose.index()]) = of(purpose);
         }
         shares
     }
@@ -57,15 +57,15 @@
 impl Counts {
     /// What is promised to others and not yet used by them.
     fn promised(&self, but: usize) -> usize {
-        let left = |at: usize| self.shares.least[at].saturating_sub(self.used[at]);
+        let left = |at: usize| self.shares.guaranteed[at].saturating_sub(self.used[at]);
         (0..PURPOSES).filter(|at| *at != but).map(left).sum()
     }
 
     fn take(&mut self, at: usize) -> bool {
         let used: usize = self.used.iter().sum();
-        let own = self.used[at] < self.shares.least[at];
+        let own = self.used[at] < self.shares.guaranteed[at];
         let free = used + self.promised(at) < self.total;
-        let fits = self.used[at] < self.shares.most[at] && used < self.total && (own || free);
+        let fits = self.used[at] < self.shares.max[at] && used < self.total && (own || free);
         if fits {
             self.used[at] += 1;
         } else {
@@ -90,7 +90,7 @@
     /// # Panics
     /// If more is promised than there is: that is a fault of whoever worked out the shares.
     pub fn new(total: usize, shares: Shares) -> Budget {
-        let promised: usize = shares.least.iter().sum();
+        let promised: usize = shares.guaranteed.iter().sum();
         assert!(promised <= total, "{promised} descriptors are promised of {total}");
         Budget(Arc::new(Mutex::new(Counts { total, shares, used: [0; PURPOSES], refused: [0; PURPOSES] })))
     }
@@ -99,7 +99,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn take(&self, purpose: Purpose) -> Option<Token> {
+    pub fn acquire(&self, purpose: Purpose) -> Option<Token> {
         let taken = self.lock().take(purpose.index());
         taken.then(|| Token { counts: Arc::clone(&self.0), purpose })
     }
@@ -108,7 +108,7 @@
         self.lock().used[purpose.index()]
     }
 
-    pub fn used_in_all(&self) -> usize {
+    pub fn total_used(&self) -> usize {
         self.lock().used.iter().sum()
     }
 
@@ -124,7 +124,7 @@
     }
 
     /// The same descriptor for another purpose, if that has room; otherwise the token as it was.
-    pub fn pass_on(mut self, purpose: Purpose) -> Result<Token, Token> {
+    pub fn transfer(mut self, purpose: Purpose) -> Result<Token, Token> {
         let (from, to) = (self.purpose.index(), purpose.index());
         let moved = {
             let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/admission/src/connections.rs
+++ b/crates/admission/src/connections.rs
@@ -7,28 +7,28 @@
 
 /// The carrier's number of a connection; one is never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Number(pub u64);
+pub struct ConnectionNumber(pub u64);
 
 /// What a connection is about. Where there is no room those named first go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
     /// It has its last answer; only what it still sends is read, so that the answer reaches it.
-    Parting,
+    Closing,
     /// It has never sent a whole request.
-    Unproven,
+    NoRequest,
     /// It rests, and has never handed in a text.
-    Curious,
-    Resting,
+    IdleNoText,
+    Idle,
     /// Part of a request is there.
-    Asking,
-    Answered,
+    ReadingRequest,
+    AwaitingResponse,
 }
 
 /// What is known of a connection that comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Worth {
+pub enum Priority {
     Unknown,
-    Question,
+    Query,
     Text,
 }
 
@@ -53,61 +53,61 @@
 /// Every limit of connections. What is 0 doesn't bind.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    pub places: usize,
+    pub max_connections: usize,
     /// Of the places, those that only known clients may have.
-    pub reserve: usize,
-    pub per_address: usize,
-    pub per_prefix: usize,
+    pub reserved_for_known: usize,
+    pub max_per_address: usize,
+    pub max_per_prefix: usize,
     /// New connections that an address may open in a second, and at once.
-    pub new_a_second: f64,
-    pub new_at_once: f64,
+    pub new_per_second: f64,
+    pub new_burst: f64,
     /// Connections of one address on which a first request, or a further one, is being read.
-    pub reading: usize,
+    pub max_reading_per_address: usize,
     pub prefixes: Prefixes,
     /// How long a client stays known after a text of it was taken on, and those that always are.
     pub known_for: Span,
-    pub named: Vec<Network>,
+    pub always_known: Vec<Network>,
     /// Addresses remembered of each sort beside those with open connections.
-    pub addresses: usize,
+    pub max_remembered: usize,
     /// Where there is no room, one goes whose request came to a halt for so long.
-    pub pause: Span,
+    pub stalled_after: Span,
     /// For want of a descriptor, no connection goes that came less long ago and has sent nothing whole: its first request
     /// may be on the way.
-    pub grace: Span,
+    pub first_request_grace: Span,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    Comes {
-        number: Number,
+    Arrived {
+        number: ConnectionNumber,
         address: IpAddr,
-        worth: Worth,
+        priority: Priority,
     },
-    Enters {
-        number: Number,
+    StateChanged {
+        number: ConnectionNumber,
         state: State,
     },
     /// A text on this connection was taken on: its client is known from now on.
-    HandedIn {
-        number: Number,
+    TextAccepted {
+        number: ConnectionNumber,
     },
-    Ended {
-        number: Number,
+    Closed {
+        number: ConnectionNumber,
     },
     /// There is no descriptor for the next, whatever places there are.
-    Shortage,
+    DescriptorShortage,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
-    Nothing,
+pub enum Decision {
+    NoChange,
     /// It has a place; the other one has to go for it.
-    Seated {
-        instead_of: Option<Number>,
+    Admitted {
+        evicted: Option<ConnectionNumber>,
     },
-    TurnedAway(Reason),
+    Rejected(Reason),
     /// This one has to go.
-    Leaves(Number),
+    Evict(ConnectionNumber),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -123,18 +123,18 @@
 
 impl Connection {
     fn is_read(&self) -> bool {
-        matches!(self.state, State::Unproven | State::Asking)
+        matches!(self.state, State::NoRequest | State::ReadingRequest)
     }
 }
 
 /// By worth, then by age: the first is the first to go.
-type Rank = (State, Moment, Number);
+type Rank = (State, Moment, ConnectionNumber);
 
 /// The places for clients and what is remembered of their addresses. Each event costs the logarithm of what is open.
 #[derive(Debug, Default)]
 pub struct Connections {
     settings: Settings,
-    open: BTreeMap<Number, Connection>,
+    open: BTreeMap<ConnectionNumber, Connection>,
     /// Those that hold a place, by who goes first; of strangers alone, and of each address.
     ranks: BTreeSet<Rank>,
     strangers: BTreeSet<Rank>,
@@ -142,7 +142,7 @@
     of_prefix: BTreeMap<Network, usize>,
     handed_in: usize,
     addresses: Addresses,
-    turned_away: BTreeMap<Reason, u64>,
+    rejected: BTreeMap<Reason, u64>,
 }
 
 impl Connections {
@@ -151,39 +151,39 @@
     }
 
     /// Takes what happened and says who gets a place.
-    pub fn step(&mut self, now: Moment, event: Event) -> Answer {
+    pub fn step(&mut self, now: Moment, event: Event) -> Decision {
         match event {
-            Event::Comes { number, address, worth } => {
-                let answer = self.comes(now, number, plain(address), worth);
-                if let Answer::TurnedAway(reason) = answer {
-                    *self.turned_away.entry(reason).or_default() += 1;
+            Event::Arrived { number, address, priority } => {
+                let answer = self.comes(now, number, plain(address), priority);
+                if let Decision::Rejected(reason) = answer {
+                    *self.rejected.entry(reason).or_default() += 1;
                 }
                 answer
             }
-            Event::Enters { number, state } => {
+            Event::StateChanged { number, state } => {
                 self.enters(now, number, state);
-                Answer::Nothing
+                Decision::NoChange
             }
-            Event::HandedIn { number } => {
+            Event::TextAccepted { number } => {
                 if let Some(connection) = self.open.get(&number).copied() {
                     self.change_address(now, connection.address, |record| record.valid_at = Some(now));
                     self.move_to(number, |connection| connection.known = true);
                 }
-                Answer::Nothing
+                Decision::NoChange
             }
-            Event::Ended { number } => {
+            Event::Closed { number } => {
                 self.ended(now, number);
-                Answer::Nothing
+                Decision::NoChange
             }
-            Event::Shortage => {
+            Event::DescriptorShortage => {
                 // Nobody knows yet who waits outside, so those that work keep theirs.
-                let least = self.least(now, Some(&self.strangers), Worth::Question);
-                let least = least.or_else(|| self.least(now, Some(&self.ranks), Worth::Text));
+                let least = self.least(now, Some(&self.strangers), Priority::Query);
+                let least = least.or_else(|| self.least(now, Some(&self.ranks), Priority::Text));
                 let Some(least) = least.filter(|least| !self.is_new(now, *least)) else {
-                    return Answer::Nothing;
+                    return Decision::NoChange;
                 };
                 self.leaves(now, least);
-                Answer::Leaves(least)
+                Decision::Evict(least)
             }
         }
     }
@@ -194,39 +194,39 @@
     }
 
     /// How many have handed in a text, rest or wait for their answer.
-    pub fn busy(&self) -> usize {
+    pub fn with_texts(&self) -> usize {
         self.handed_in
     }
 
     /// Whether it was told to go, or is unknown.
-    pub fn is_leaving(&self, number: Number) -> bool {
+    pub fn is_evicted(&self, number: ConnectionNumber) -> bool {
         self.open.get(&number).is_none_or(|connection| connection.leaving)
     }
 
     /// Connections up to a state, as those at rest when the sender stops.
-    pub fn up_to(&self, state: State) -> Vec<Number> {
+    pub fn in_states_up_to(&self, state: State) -> Vec<ConnectionNumber> {
         self.ranks.iter().take_while(|(at, ..)| *at <= state).map(|(.., number)| *number).collect()
     }
 
     /// Those that came so long ago and have sent nothing whole.
-    pub fn silent(&self, now: Moment, since: Span) -> Vec<Number> {
-        let new = self.ranks.iter().take_while(|(state, ..)| *state <= State::Unproven);
+    pub fn without_request(&self, now: Moment, since: Span) -> Vec<ConnectionNumber> {
+        let new = self.ranks.iter().take_while(|(state, ..)| *state <= State::NoRequest);
         new.filter(|(_, at, _)| now.since(*at) >= since).map(|(.., number)| *number).collect()
     }
 
     /// How many were turned away, by reason.
-    pub fn turned_away(&self) -> impl Iterator<Item = (Reason, u64)> {
-        self.turned_away.iter().map(|(reason, count)| (*reason, *count))
+    pub fn rejected(&self) -> impl Iterator<Item = (Reason, u64)> {
+        self.rejected.iter().map(|(reason, count)| (*reason, *count))
     }
 
     /// Addresses that are remembered.
-    pub fn remembered(&self) -> usize {
+    pub fn remembered_addresses(&self) -> usize {
         self.addresses.len()
     }
 
     pub fn is_known(&self, now: Moment, address: IpAddr) -> bool {
         let address = plain(address);
-        self.settings.named.iter().any(|network| network.contains(address))
+        self.settings.always_known.iter().any(|network| network.contains(address))
             || self.addresses.is_known(now, address, self.settings.known_for)
     }
 
@@ -236,19 +236,19 @@
         address: IpAddr,
         change: impl FnOnce(&mut crate::addresses::Record) -> T,
     ) -> T {
-        let Settings { new_at_once, addresses, .. } = self.settings;
-        self.addresses.change(now, address, new_at_once.max(1.0), addresses, change)
+        let Settings { new_burst, max_remembered, .. } = self.settings;
+        self.addresses.change(now, address, new_burst.max(1.0), max_remembered, change)
     }
 
     /// Takes one of the connections that an address may open just now.
     fn keeps_pace(&mut self, now: Moment, address: IpAddr) -> bool {
-        let Settings { new_a_second, new_at_once, .. } = self.settings;
-        if new_a_second <= 0.0 {
+        let Settings { new_per_second, new_burst, .. } = self.settings;
+        if new_per_second <= 0.0 {
             return true;
         }
         self.change_address(now, address, |record| {
-            let grown = record.tokens + now.since(record.counted).as_secs() * new_a_second;
-            record.tokens = grown.min(new_at_once.max(1.0));
+            let grown = record.tokens + now.since(record.counted).as_secs() * new_per_second;
+            record.tokens = grown.min(new_burst.max(1.0));
             record.counted = now;
             let fine = record.tokens >= 1.0;
             if fine {
@@ -259,75 +259,105 @@
     }
 
     /// Whether it came so lately that its first request may still be on the way.
-    fn is_new(&self, now: Moment, number: Number) -> bool {
+    fn is_new(&self, now: Moment, number: ConnectionNumber) -> bool {
         let connection = self.open.get(&number);
-        connection.is_some_and(|at| at.state == State::Unproven && now.since(at.since) < self.settings.grace)
+        connection.is_some_and(|at| {
+            at.state == State::NoRequest && now.since(at.since) < self.settings.first_request_grace
+        })
     }
 
     /// The one that goes first among some, if it is worth less than who comes.
-    fn least(&self, now: Moment, ranks: Option<&BTreeSet<Rank>>, worth: Worth) -> Option<Number> {
+    fn least(
+        &self,
+        now: Moment,
+        ranks: Option<&BTreeSet<Rank>>,
+        priority: Priority,
+    ) -> Option<ConnectionNumber> {
         let yields = |(state, since, _): &&Rank| match state {
-            State::Parting | State::Unproven => worth >= Worth::Question,
-            State::Curious | State::Resting => worth == Worth::Text,
-            State::Asking => worth == Worth::Text && now.since(*since) >= self.settings.pause,
-            State::Answered => false,
+            State::Closing | State::NoRequest => priority >= Priority::Query,
+            State::IdleNoText | State::Idle => priority == Priority::Text,
+            State::ReadingRequest => {
+                priority == Priority::Text && now.since(*since) >= self.settings.stalled_after
+            }
+            State::AwaitingResponse => false,
         };
         // In the order of worth: if the first of a state does not yield, an older one of it does not either.
         ranks?.iter().next().filter(yields).map(|(.., number)| *number)
     }
 
-    fn comes(&mut self, now: Moment, number: Number, address: IpAddr, worth: Worth) -> Answer {
+    fn comes(
+        &mut self,
+        now: Moment,
+        number: ConnectionNumber,
+        address: IpAddr,
+        priority: Priority,
+    ) -> Decision {
         let known = self.is_known(now, address);
         // A connection that was in the accept queue has been counted already.
-        if worth == Worth::Unknown && !self.keeps_pace(now, address) {
-            return Answer::TurnedAway(Reason::Pace);
+        if priority == Priority::Unknown && !self.keeps_pace(now, address) {
+            return Decision::Rejected(Reason::Pace);
         }
-        let Settings { places, reserve, per_address, per_prefix, reading, prefixes, .. } = self.settings;
+        let Settings {
+            max_connections,
+            reserved_for_known,
+            max_per_address,
+            max_per_prefix,
+            max_reading_per_address,
+            prefixes,
+            ..
+        } = self.settings;
         let prefix = Network::of(address, prefixes);
         let record = self.addresses.get(address);
         let (open, read) = record.map_or((0, 0), |record| (record.open, record.reading));
-        let mut instead_of = None;
+        let mut evicted = None;
         // Behind one address there may be an offender beside known tills: who comes then takes the place of the least
         // among its own, and what says nothing goes before what works.
-        if (per_address > 0 && open >= per_address) || (reading > 0 && read >= reading) {
+        if (max_per_address > 0 && open >= max_per_address)
+            || (max_reading_per_address > 0 && read >= max_reading_per_address)
+        {
             let own = self.of_address.get(&address);
-            let silent = self.least(now, own, worth.max(Worth::Question));
-            let silent = silent.filter(|_| worth > Worth::Unknown || known);
+            let silent = self.least(now, own, priority.max(Priority::Query));
+            let silent = silent.filter(|_| priority > Priority::Unknown || known);
             match silent {
-                Some(least) => instead_of = Some(least),
-                None if per_address > 0 && open >= per_address => return Answer::TurnedAway(Reason::Address),
-                None => return Answer::TurnedAway(Reason::Reading),
+                Some(least) => evicted = Some(least),
+                None if max_per_address > 0 && open >= max_per_address => {
+                    return Decision::Rejected(Reason::Address);
+                }
+                None => return Decision::Rejected(Reason::Reading),
             }
         }
         let neighbours = self.of_prefix.get(&prefix).copied().unwrap_or(0);
-        if per_prefix > 0 && neighbours >= per_prefix && instead_of.is_none() && !known {
-            return Answer::TurnedAway(Reason::Prefix);
+        if max_per_prefix > 0 && neighbours >= max_per_prefix && evicted.is_none() && !known {
+            return Decision::Rejected(Reason::Prefix);
         }
-        if instead_of.is_none() {
+        if evicted.is_none() {
             let held = self.ranks.len();
             let strange = self.strangers.len();
-            let room =
-                if known { held < places } else { strange < places.saturating_sub(reserve) && held < places };
+            let room = if known {
+                held < max_connections
+            } else {
+                strange < max_connections.saturating_sub(reserved_for_known) && held < max_connections
+            };
             if !room {
                 // A known client takes the place of the least stranger first, then of the least of all.
                 let stranger = self.least(
                     now,
                     Some(&self.strangers),
-                    if known { worth.max(Worth::Question) } else { worth },
+                    if known { priority.max(Priority::Query) } else { priority },
                 );
-                let any = if known { self.least(now, Some(&self.ranks), worth) } else { None };
+                let any = if known { self.least(now, Some(&self.ranks), priority) } else { None };
                 match stranger.or(any) {
-                    Some(least) => instead_of = Some(least),
-                    None if held < places => return Answer::TurnedAway(Reason::Reserved),
-                    None => return Answer::TurnedAway(Reason::Full),
+                    Some(least) => evicted = Some(least),
+                    None if held < max_connections => return Decision::Rejected(Reason::Reserved),
+                    None => return Decision::Rejected(Reason::Full),
                 }
             }
         }
-        if let Some(least) = instead_of {
+        if let Some(least) = evicted {
             self.leaves(now, least);
         }
         let connection =
-            Connection { address, prefix, known, state: State::Unproven, since: now, leaving: false };
+            Connection { address, prefix, known, state: State::NoRequest, since: now, leaving: false };
         self.open.insert(number, connection);
         self.change_address(now, address, |record| {
             record.open += 1;
@@ -335,10 +365,10 @@
         });
         *self.of_prefix.entry(prefix).or_default() += 1;
         self.rank(number);
-        Answer::Seated { instead_of }
+        Decision::Admitted { evicted }
     }
 
-    fn rank(&mut self, number: Number) {
+    fn rank(&mut self, number: ConnectionNumber) {
         let Some(at) = self.open.get(&number).filter(|at| !at.leaving) else { return };
         let rank = (at.state, at.since, number);
         self.ranks.insert(rank);
@@ -346,10 +376,10 @@
         if !at.known {
             self.strangers.insert(rank);
         }
-        self.handed_in += usize::from(matches!(at.state, State::Resting | State::Answered));
+        self.handed_in += usize::from(matches!(at.state, State::Idle | State::AwaitingResponse));
     }
 
-    fn unrank(&mut self, number: Number) {
+    fn unrank(&mut self, number: ConnectionNumber) {
         let Some(at) = self.open.get(&number).filter(|at| !at.leaving) else { return };
         let rank = (at.state, at.since, number);
         self.ranks.remove(&rank);
@@ -360,10 +390,10 @@
                 self.of_address.remove(&at.address);
             }
         }
-        self.handed_in -= usize::from(matches!(at.state, State::Resting | State::Answered));
+        self.handed_in -= usize::from(matches!(at.state, State::Idle | State::AwaitingResponse));
     }
 
-    fn move_to(&mut self, number: Number, change: impl FnOnce(&mut Connection)) {
+    fn move_to(&mut self, number: ConnectionNumber, change: impl FnOnce(&mut Connection)) {
         self.unrank(number);
         if let Some(connection) = self.open.get_mut(&number) {
             change(connection);
@@ -371,14 +401,14 @@
         self.rank(number);
     }
 
-    fn enters(&mut self, now: Moment, number: Number, state: State) {
+    fn enters(&mut self, now: Moment, number: ConnectionNumber, state: State) {
         let Some(at) = self.open.get(&number).copied() else { return };
         // Until its first request is whole a connection has shown nothing.
-        if at.state == state || (at.state == State::Unproven && state == State::Asking) {
+        if at.state == state || (at.state == State::NoRequest && state == State::ReadingRequest) {
             return;
         }
         self.move_to(number, |connection| (connection.state, connection.since) = (state, now));
-        let (was, is) = (at.is_read(), matches!(state, State::Unproven | State::Asking));
+        let (was, is) = (at.is_read(), matches!(state, State::NoRequest | State::ReadingRequest));
         if was != is {
             self.change_address(now, at.address, |record| {
                 record.reading = if is { record.reading + 1 } else { record.reading.saturating_sub(1) };
@@ -387,7 +417,7 @@
     }
 
     /// It makes room: its place and what its address and prefix hold are free from now on.
-    fn leaves(&mut self, now: Moment, number: Number) {
+    fn leaves(&mut self, now: Moment, number: ConnectionNumber) {
         self.unrank(number);
         let Some(at) = self.open.get_mut(&number) else { return };
         if std::mem::replace(&mut at.leaving, true) {
@@ -410,7 +440,7 @@
         }
     }
 
-    fn ended(&mut self, now: Moment, number: Number) {
+    fn ended(&mut self, now: Moment, number: ConnectionNumber) {
         self.unrank(number);
         let Some(at) = self.open.remove(&number) else { return };
         if !at.leaving {
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -13,5 +13,5 @@
 
 pub use addresses::{Network, Prefixes};
 pub use budget::{Budget, Purpose, Shares, Token};
-pub use connections::{Answer, Connections, Event, Number, Reason, Settings, State, Worth};
+pub use connections::{ConnectionNumber, Connections, Decision, Event, Priority, Reason, Settings, State};
 pub use overload::{OverloadDetector, OverloadSettings};
--- a/crates/admission/src/overload.rs
+++ b/crates/admission/src/overload.rs
@@ -9,25 +9,25 @@
 #[derive(Clone, Copy, Debug)]
 pub struct OverloadSettings {
     /// Lateness under this is ordinary.
-    pub ordinary: Span,
+    pub min_stall: Span,
     /// For so long after a spell of standing still another one is to be expected.
-    pub memory: Span,
+    pub stall_memory: Span,
     /// Of a text's time, what has to be left beyond the longest spell lately.
     pub margin: Span,
     /// A word that waited so long for the decider finds its client near the end of its patience.
-    pub patience: Span,
+    pub max_queue_wait: Span,
     /// Bounds of the time after which a client is told to come back.
-    pub come_back: (Span, Span),
+    pub retry_after_range: (Span, Span),
 }
 
 impl Default for OverloadSettings {
     fn default() -> OverloadSettings {
         OverloadSettings {
-            ordinary: Span::millis(150),
-            memory: Span::millis(10_000),
+            min_stall: Span::millis(150),
+            stall_memory: Span::millis(10_000),
             margin: Span::millis(200),
-            patience: Span::millis(250),
-            come_back: (Span::millis(250), Span::millis(2_000)),
+            max_queue_wait: Span::millis(250),
+            retry_after_range: (Span::millis(250), Span::millis(2_000)),
         }
     }
 }
@@ -46,9 +46,9 @@
     }
 
     /// A beat came so much later than it should have; whether that was a spell of standing still.
-    pub fn late(&mut self, now: Moment, by: Span) -> bool {
+    pub fn record_delay(&mut self, now: Moment, by: Span) -> bool {
         self.forget(now);
-        if by < self.settings.ordinary {
+        if by < self.settings.min_stall {
             return false;
         }
         while self.spells.back().is_some_and(|(_, spell)| *spell <= by) {
@@ -60,22 +60,22 @@
 
     /// How long at the most a request that is read just now may have lain unread: nobody waits for an answer longer
     /// than `patience`, so what is older has lost its client.
-    pub fn unread(&self, now: Moment, patience: Span) -> Span {
+    pub fn max_unread_time(&self, now: Moment, patience: Span) -> Span {
         match self.spells.back() {
-            Some((at, spell)) if now.since(*at) <= self.settings.ordinary => (*spell).min(patience),
+            Some((at, spell)) if now.since(*at) <= self.settings.min_stall => (*spell).min(patience),
             _ => Span::ZERO,
         }
     }
 
     fn forget(&mut self, now: Moment) {
-        while self.spells.front().is_some_and(|(at, _)| now.since(*at) > self.settings.memory) {
+        while self.spells.front().is_some_and(|(at, _)| now.since(*at) > self.settings.stall_memory) {
             self.spells.pop_front();
         }
     }
 
     /// The longest spell that is remembered.
-    pub fn longest(&self, now: Moment) -> Span {
-        let lately = self.spells.iter().filter(|(at, _)| now.since(*at) <= self.settings.memory);
+    pub fn longest_stall(&self, now: Moment) -> Span {
+        let lately = self.spells.iter().filter(|(at, _)| now.since(*at) <= self.settings.stall_memory);
         lately.map(|(_, spell)| *spell).max().unwrap_or(Span::ZERO)
     }
 
@@ -83,12 +83,12 @@
     /// how long its client should come back.
     pub fn admit(&mut self, now: Moment, left: Span, waited: Span) -> Result<(), Span> {
         self.forget(now);
-        let longest = self.longest(now);
+        let longest = self.longest_stall(now);
         let back = |span: Span| {
-            let (least, most) = self.settings.come_back;
+            let (least, most) = self.settings.retry_after_range;
             span.max(least).min(most)
         };
-        if waited >= self.settings.patience {
+        if waited >= self.settings.max_queue_wait {
             // Its client leaves before an answer reaches it, or has left.
             return Err(back(waited));
         }
--- a/crates/admission/src/overload/tests.rs
+++ b/crates/admission/src/overload/tests.rs
@@ -12,7 +12,7 @@
 fn a_sender_in_time_takes_everything() {
     let mut overload = OverloadDetector::new(OverloadSettings::default());
     for n in 0..1000 {
-        overload.late(at(n * 20), span(n % 140));
+        overload.record_delay(at(n * 20), span(n % 140));
         assert_eq!(overload.admit(at(n * 20), span(60), span(n % 240)), Ok(()));
     }
 }
@@ -20,7 +20,7 @@
 #[test]
 fn after_a_spell_texts_that_would_not_outlast_another_are_sent_elsewhere_for_a_while() {
     let mut overload = OverloadDetector::new(OverloadSettings::default());
-    overload.late(at(5_000), span(3_000));
+    overload.record_delay(at(5_000), span(3_000));
     for (ms, left, fine) in [
         (5_000, 3_100, false),
         (5_000, 3_300, true),
@@ -35,12 +35,12 @@
 #[test]
 fn shorter_spells_behind_a_long_one_count_once_it_is_forgotten() {
     let mut overload = OverloadDetector::new(OverloadSettings::default());
-    overload.late(at(0), span(4_000));
-    overload.late(at(8_000), span(500));
-    overload.late(at(9_000), span(900));
-    assert_eq!(overload.longest(at(9_500)), span(4_000));
-    assert_eq!(overload.longest(at(10_500)), span(900));
-    assert_eq!(overload.longest(at(19_500)), Span::ZERO);
+    overload.record_delay(at(0), span(4_000));
+    overload.record_delay(at(8_000), span(500));
+    overload.record_delay(at(9_000), span(900));
+    assert_eq!(overload.longest_stall(at(9_500)), span(4_000));
+    assert_eq!(overload.longest_stall(at(10_500)), span(900));
+    assert_eq!(overload.longest_stall(at(19_500)), Span::ZERO);
     assert!(overload.spells.len() <= 2);
 }
 
@@ -55,19 +55,21 @@
 #[test]
 fn what_is_read_right_after_a_spell_may_have_lain_there() {
     let mut overload = OverloadDetector::new(OverloadSettings::default());
-    assert!(!overload.late(at(1_000), span(100)) && overload.late(at(5_000), span(3_000)));
-    assert_eq!(overload.unread(at(5_010), span(350)), span(350));
-    assert_eq!(overload.unread(at(5_200), span(350)), Span::ZERO);
-    overload.late(at(9_000), span(200));
-    assert_eq!(overload.unread(at(9_000), span(350)), span(200));
+    assert!(!overload.record_delay(at(1_000), span(100)) && overload.record_delay(at(5_000), span(3_000)));
+    assert_eq!(overload.max_unread_time(at(5_010), span(350)), span(350));
+    assert_eq!(overload.max_unread_time(at(5_200), span(350)), Span::ZERO);
+    overload.record_delay(at(9_000), span(200));
+    assert_eq!(overload.max_unread_time(at(9_000), span(350)), span(200));
 }
 
 #[test]
 fn memory_is_bounded_whatever_comes() {
-    let mut overload =
-        OverloadDetector::new(OverloadSettings { memory: span(1 << 40), ..OverloadSettings::default() });
+    let mut overload = OverloadDetector::new(OverloadSettings {
+        stall_memory: span(1 << 40),
+        ..OverloadSettings::default()
+    });
     for n in 0..100_000i64 {
-        overload.late(at(n), span(150 + n * 7919 % 4_000));
+        overload.record_delay(at(n), span(150 + n * 7919 % 4_000));
     }
     // Spells kept fall strictly from the first to the last.
     let spells: Vec<Span> = overload.spells.iter().map(|(_, spell)| *spell).collect();
--- a/crates/admission/tests/connections.rs
+++ b/crates/admission/tests/connections.rs
@@ -16,16 +16,16 @@
 
 fn settings() -> Settings {
     Settings {
-        places: 100,
-        reserve: 20,
-        per_address: 30,
-        per_prefix: 60,
-        new_a_second: 0.0,
-        new_at_once: 50.0,
-        reading: 0,
+        max_connections: 100,
+        reserved_for_known: 20,
+        max_per_address: 30,
+        max_per_prefix: 60,
+        new_per_second: 0.0,
+        new_burst: 50.0,
+        max_reading_per_address: 0,
         known_for: Span::millis(600_000),
-        addresses: 1000,
-        pause: Span::millis(500),
+        max_remembered: 1000,
+        stalled_after: Span::millis(500),
         ..Settings::default()
     }
 }
@@ -40,37 +40,37 @@
         Crowd { connections: Connections::new(settings), next: 0 }
     }
 
-    fn comes(&mut self, ms: f64, from: u32, worth: Worth) -> (Number, Answer) {
+    fn comes(&mut self, ms: f64, from: u32, priority: Priority) -> (ConnectionNumber, Decision) {
         self.next += 1;
-        let number = Number(self.next);
-        let event = Event::Comes { number, address: address(from), worth };
+        let number = ConnectionNumber(self.next);
+        let event = Event::Arrived { number, address: address(from), priority };
         (number, self.connections.step(at(ms), event))
     }
 
     fn tell(&mut self, ms: f64, event: Event) {
-        assert_eq!(self.connections.step(at(ms), event), Answer::Nothing);
+        assert_eq!(self.connections.step(at(ms), event), Decision::NoChange);
     }
 
     /// Connects, hands in a text that is taken on, and rests.
-    fn till(&mut self, ms: f64, from: u32) -> (Number, Answer) {
-        let (number, answer) = self.comes(ms, from, Worth::Unknown);
-        if matches!(answer, Answer::Seated { .. }) {
-            self.tell(ms, Event::Enters { number, state: State::Answered });
-            self.tell(ms, Event::HandedIn { number });
-            self.tell(ms, Event::Enters { number, state: State::Resting });
+    fn till(&mut self, ms: f64, from: u32) -> (ConnectionNumber, Decision) {
+        let (number, answer) = self.comes(ms, from, Priority::Unknown);
+        if matches!(answer, Decision::Admitted { .. }) {
+            self.tell(ms, Event::StateChanged { number, state: State::AwaitingResponse });
+            self.tell(ms, Event::TextAccepted { number });
+            self.tell(ms, Event::StateChanged { number, state: State::Idle });
         }
         (number, answer)
     }
 }
 
-fn seated(answer: Answer) -> bool {
-    matches!(answer, Answer::Seated { .. })
+fn seated(answer: Decision) -> bool {
+    matches!(answer, Decision::Admitted { .. })
 }
 
 #[test]
 fn one_office_with_thousands_of_connections_leaves_room_for_tills_elsewhere() {
     let mut crowd = Crowd::of(settings());
-    let taken = (0..5000).filter(|_| seated(crowd.comes(0.0, 7, Worth::Unknown).1)).count();
+    let taken = (0..5000).filter(|_| seated(crowd.comes(0.0, 7, Priority::Unknown).1)).count();
     assert_eq!(taken, 30, "as many as an address may hold");
     for till in 0..60 {
         assert!(seated(crowd.till(10.0, 1000 + till * 300).1), "till {till}");
@@ -81,45 +81,45 @@
 fn many_strangers_leave_the_reserve_to_those_who_are_known() {
     let mut crowd = Crowd::of(settings());
     let (till, _) = crowd.till(0.0, 1);
-    crowd.tell(1.0, Event::Ended { number: till });
-    let taken = (0..5000).filter(|n| seated(crowd.comes(10.0, 1000 + n * 300, Worth::Unknown).1)).count();
+    crowd.tell(1.0, Event::Closed { number: till });
+    let taken = (0..5000).filter(|n| seated(crowd.comes(10.0, 1000 + n * 300, Priority::Unknown).1)).count();
     assert_eq!(taken, 80);
-    assert_eq!(crowd.comes(11.0, 999_999, Worth::Unknown).1, Answer::TurnedAway(Reason::Reserved));
+    assert_eq!(crowd.comes(11.0, 999_999, Priority::Unknown).1, Decision::Rejected(Reason::Reserved));
     for _ in 0..20 {
-        assert_eq!(crowd.comes(12.0, 1, Worth::Unknown).1, Answer::Seated { instead_of: None });
+        assert_eq!(crowd.comes(12.0, 1, Priority::Unknown).1, Decision::Admitted { evicted: None });
     }
     // Beyond the reserve a known client takes the place of a stranger that has shown nothing.
-    let (_, answer) = crowd.comes(13.0, 1, Worth::Unknown);
-    assert!(matches!(answer, Answer::Seated { instead_of: Some(_) }), "{answer:?}");
+    let (_, answer) = crowd.comes(13.0, 1, Priority::Unknown);
+    assert!(matches!(answer, Decision::Admitted { evicted: Some(_) }), "{answer:?}");
 }
 
 #[test]
 fn a_new_till_becomes_known_in_a_storm_by_what_it_hands_in() {
     let mut crowd = Crowd::of(settings());
     for n in 0..80 {
-        crowd.comes(0.0, 1000 + n * 300, Worth::Unknown);
+        crowd.comes(0.0, 1000 + n * 300, Priority::Unknown);
     }
-    let (_, answer) = crowd.comes(1.0, 5, Worth::Unknown);
-    assert_eq!(answer, Answer::TurnedAway(Reason::Reserved));
+    let (_, answer) = crowd.comes(1.0, 5, Priority::Unknown);
+    assert_eq!(answer, Decision::Rejected(Reason::Reserved));
     // In the accept queue its text is seen, and one that said nothing so far goes.
-    let (number, answer) = crowd.comes(2.0, 5, Worth::Text);
-    assert_eq!(answer, Answer::Seated { instead_of: Some(Number(1)) });
-    crowd.tell(3.0, Event::Enters { number, state: State::Answered });
-    crowd.tell(3.0, Event::HandedIn { number });
-    assert!(seated(crowd.comes(4.0, 5, Worth::Unknown).1));
+    let (number, answer) = crowd.comes(2.0, 5, Priority::Text);
+    assert_eq!(answer, Decision::Admitted { evicted: Some(ConnectionNumber(1)) });
+    crowd.tell(3.0, Event::StateChanged { number, state: State::AwaitingResponse });
+    crowd.tell(3.0, Event::TextAccepted { number });
+    assert!(seated(crowd.comes(4.0, 5, Priority::Unknown).1));
 }
 
 #[test]
 fn behind_one_address_what_says_nothing_makes_room_for_tills() {
     let mut crowd = Crowd::of(settings());
-    let tills: Vec<Number> = (0..10).map(|_| crowd.till(0.0, 9).0).collect();
+    let tills: Vec<ConnectionNumber> = (0..10).map(|_| crowd.till(0.0, 9).0).collect();
     for _ in 0..500 {
-        crowd.comes(5.0, 9, Worth::Unknown);
+        crowd.comes(5.0, 9, Priority::Unknown);
     }
-    assert!(tills.iter().all(|till| !crowd.connections.is_leaving(*till)), "those that work stay");
-    let (_, answer) = crowd.comes(6.0, 9, Worth::Text);
+    assert!(tills.iter().all(|till| !crowd.connections.is_evicted(*till)), "those that work stay");
+    let (_, answer) = crowd.comes(6.0, 9, Priority::Text);
     assert!(
-        matches!(answer, Answer::Seated { instead_of: Some(least) } if !tills.contains(&least)),
+        matches!(answer, Decision::Admitted { evicted: Some(least) } if !tills.contains(&least)),
         "{answer:?}"
     );
     assert_eq!(crowd.connections.open().0, 30);
@@ -127,95 +127,106 @@
 
 #[test]
 fn an_address_may_open_so_many_a_second() {
-    let mut crowd = Crowd::of(Settings { new_a_second: 10.0, new_at_once: 5.0, ..settings() });
+    let mut crowd = Crowd::of(Settings { new_per_second: 10.0, new_burst: 5.0, ..settings() });
     let mut taken = 0;
     for n in 0..200 {
-        let (number, answer) = crowd.comes(f64::from(n) * 10.0, 3, Worth::Unknown);
+        let (number, answer) = crowd.comes(f64::from(n) * 10.0, 3, Priority::Unknown);
         if seated(answer) {
             taken += 1;
-            crowd.tell(f64::from(n) * 10.0, Event::Ended { number });
+            crowd.tell(f64::from(n) * 10.0, Event::Closed { number });
         } else {
-            assert_eq!(answer, Answer::TurnedAway(Reason::Pace));
+            assert_eq!(answer, Decision::Rejected(Reason::Pace));
         }
     }
     assert!((24..=25).contains(&taken), "{taken}");
-    assert!(seated(crowd.comes(2000.0, 4, Worth::Unknown).1), "others have a pace of their own");
+    assert!(seated(crowd.comes(2000.0, 4, Priority::Unknown).1), "others have a pace of their own");
 }
 
 #[test]
 fn requests_that_are_being_read_are_bounded_for_each_address() {
-    let mut crowd = Crowd::of(Settings { reading: 4, ..settings() });
-    let first: Vec<_> = (0..4).map(|_| crowd.comes(0.0, 3, Worth::Unknown).0).collect();
-    assert_eq!(crowd.comes(0.0, 3, Worth::Unknown).1, Answer::TurnedAway(Reason::Reading));
-    crowd.tell(1.0, Event::Enters { number: first[0], state: State::Answered });
-    assert!(seated(crowd.comes(2.0, 3, Worth::Unknown).1));
-    assert!(seated(crowd.comes(2.0, 4, Worth::Unknown).1));
+    let mut crowd = Crowd::of(Settings { max_reading_per_address: 4, ..settings() });
+    let first: Vec<_> = (0..4).map(|_| crowd.comes(0.0, 3, Priority::Unknown).0).collect();
+    assert_eq!(crowd.comes(0.0, 3, Priority::Unknown).1, Decision::Rejected(Reason::Reading));
+    crowd.tell(1.0, Event::StateChanged { number: first[0], state: State::AwaitingResponse });
+    assert!(seated(crowd.comes(2.0, 3, Priority::Unknown).1));
+    assert!(seated(crowd.comes(2.0, 4, Priority::Unknown).1));
 }
 
 #[test]
 fn a_prefix_counts_its_addresses_together_but_spares_the_known() {
     let mut crowd = Crowd::of(settings());
     let (till, _) = crowd.till(0.0, 256 + 200);
-    crowd.tell(0.0, Event::Ended { number: till });
-    let taken = (0..200).filter(|n| seated(crowd.comes(1.0, 256 + n, Worth::Unknown).1)).count();
+    crowd.tell(0.0, Event::Closed { number: till });
+    let taken = (0..200).filter(|n| seated(crowd.comes(1.0, 256 + n, Priority::Unknown).1)).count();
     assert_eq!(taken, 60);
-    assert_eq!(crowd.comes(1.0, 256 + 7, Worth::Unknown).1, Answer::TurnedAway(Reason::Prefix));
-    assert!(seated(crowd.comes(2.0, 256 + 200, Worth::Unknown).1));
-    assert!(seated(crowd.comes(2.0, 1024, Worth::Unknown).1));
+    assert_eq!(crowd.comes(1.0, 256 + 7, Priority::Unknown).1, Decision::Rejected(Reason::Prefix));
+    assert!(seated(crowd.comes(2.0, 256 + 200, Priority::Unknown).1));
+    assert!(seated(crowd.comes(2.0, 1024, Priority::Unknown).1));
 }
 
 #[test]
 fn those_named_in_the_settings_are_known_from_the_start() {
-    let named = vec!["127.0.9.0/24".parse().expect("a network")];
-    let mut crowd = Crowd::of(Settings { named, ..settings() });
+    let always_known = vec!["127.0.9.0/24".parse().expect("a network")];
+    let mut crowd = Crowd::of(Settings { always_known, ..settings() });
     for n in 0..80 {
-        crowd.comes(0.0, 70_000 + n * 300, Worth::Unknown);
+        crowd.comes(0.0, 70_000 + n * 300, Priority::Unknown);
     }
-    assert!(seated(crowd.comes(1.0, 9 * 256 + 4, Worth::Unknown).1));
-    assert!(!seated(crowd.comes(1.0, 8 * 256 + 4, Worth::Unknown).1));
+    assert!(seated(crowd.comes(1.0, 9 * 256 + 4, Priority::Unknown).1));
+    assert!(!seated(crowd.comes(1.0, 8 * 256 + 4, Priority::Unknown).1));
 }
 
 #[test]
 fn the_order_in_which_they_go_is_that_of_their_worth() {
-    let mut crowd =
-        Crowd::of(Settings { places: 5, reserve: 0, per_address: 0, per_prefix: 0, ..settings() });
-    let states = [State::Answered, State::Asking, State::Resting, State::Curious, State::Unproven];
-    let numbers: Vec<Number> = states
+    let mut crowd = Crowd::of(Settings {
+        max_connections: 5,
+        reserved_for_known: 0,
+        max_per_address: 0,
+        max_per_prefix: 0,
+        ..settings()
+    });
+    let states =
+        [State::AwaitingResponse, State::ReadingRequest, State::Idle, State::IdleNoText, State::NoRequest];
+    let numbers: Vec<ConnectionNumber> = states
         .iter()
         .map(|state| {
-            let (number, _) = crowd.comes(0.0, 1, Worth::Unknown);
-            if *state == State::Asking {
-                crowd.tell(0.0, Event::Enters { number, state: State::Answered });
+            let (number, _) = crowd.comes(0.0, 1, Priority::Unknown);
+            if *state == State::ReadingRequest {
+                crowd.tell(0.0, Event::StateChanged { number, state: State::AwaitingResponse });
             }
-            crowd.tell(0.0, Event::Enters { number, state: *state });
+            crowd.tell(0.0, Event::StateChanged { number, state: *state });
             number
         })
         .collect();
-    assert_eq!(crowd.comes(10.0, 2, Worth::Unknown).1, Answer::TurnedAway(Reason::Full));
+    assert_eq!(crowd.comes(10.0, 2, Priority::Unknown).1, Decision::Rejected(Reason::Full));
     for at in [4, 3, 2] {
-        assert_eq!(crowd.comes(10.0, 2, Worth::Text).1, Answer::Seated { instead_of: Some(numbers[at]) });
+        assert_eq!(crowd.comes(10.0, 2, Priority::Text).1, Decision::Admitted { evicted: Some(numbers[at]) });
         // Who just came is worth no more until it has asked.
-        let (newest, _) = (Number(crowd.next), ());
-        crowd.tell(10.0, Event::Enters { number: newest, state: State::Answered });
+        let (newest, _) = (ConnectionNumber(crowd.next), ());
+        crowd.tell(10.0, Event::StateChanged { number: newest, state: State::AwaitingResponse });
     }
-    assert_eq!(crowd.comes(10.0, 2, Worth::Text).1, Answer::TurnedAway(Reason::Full), "it asked just now");
-    assert_eq!(crowd.comes(600.0, 2, Worth::Text).1, Answer::Seated { instead_of: Some(numbers[1]) });
-    assert_eq!(crowd.connections.busy(), 4);
+    assert_eq!(crowd.comes(10.0, 2, Priority::Text).1, Decision::Rejected(Reason::Full), "it asked just now");
+    assert_eq!(crowd.comes(600.0, 2, Priority::Text).1, Decision::Admitted { evicted: Some(numbers[1]) });
+    assert_eq!(crowd.connections.with_texts(), 4);
 }
 
 #[test]
 fn a_connection_that_was_told_to_go_gives_its_place_once() {
-    let mut crowd =
-        Crowd::of(Settings { places: 1, reserve: 0, per_address: 0, per_prefix: 0, ..settings() });
-    let (first, _) = crowd.comes(0.0, 1, Worth::Unknown);
-    let (second, answer) = crowd.comes(1.0, 2, Worth::Text);
-    assert_eq!(answer, Answer::Seated { instead_of: Some(first) });
-    assert!(crowd.connections.is_leaving(first));
-    crowd.tell(2.0, Event::Enters { number: first, state: State::Answered });
-    crowd.tell(3.0, Event::Ended { number: first });
+    let mut crowd = Crowd::of(Settings {
+        max_connections: 1,
+        reserved_for_known: 0,
+        max_per_address: 0,
+        max_per_prefix: 0,
+        ..settings()
+    });
+    let (first, _) = crowd.comes(0.0, 1, Priority::Unknown);
+    let (second, answer) = crowd.comes(1.0, 2, Priority::Text);
+    assert_eq!(answer, Decision::Admitted { evicted: Some(first) });
+    assert!(crowd.connections.is_evicted(first));
+    crowd.tell(2.0, Event::StateChanged { number: first, state: State::AwaitingResponse });
+    crowd.tell(3.0, Event::Closed { number: first });
     assert_eq!(crowd.connections.open(), (1, 0));
-    crowd.tell(4.0, Event::Ended { number: second });
-    crowd.tell(4.0, Event::Ended { number: second });
+    crowd.tell(4.0, Event::Closed { number: second });
+    crowd.tell(4.0, Event::Closed { number: second });
     assert_eq!(crowd.connections.open(), (0, 0));
 }
 
@@ -229,7 +240,7 @@
 
 fn deeds() -> impl Strategy<Value = Vec<Deed>> {
     let deed = prop_oneof![
-        4 => (0u8..40, 0u8..3).prop_map(|(from, worth)| Deed::Comes(from, worth)),
+        4 => (0u8..40, 0u8..3).prop_map(|(from, priority)| Deed::Comes(from, priority)),
         3 => (any::<u8>(), 0u8..6).prop_map(|(which, state)| Deed::Enters(which, state)),
         1 => any::<u8>().prop_map(Deed::HandsIn),
         2 => any::<u8>().prop_map(Deed::Ends),
@@ -243,22 +254,22 @@
     /// Against a model that counts by hand: no bound is ever passed, nobody goes who works, counts come back to zero.
     #[test]
     fn bounds_hold_over_random_histories(deeds in deeds()) {
-        let settings = Settings { places: 12, reserve: 4, per_address: 4, per_prefix: 9, ..settings() };
+        let settings = Settings { max_connections: 12, reserved_for_known: 4, max_per_address: 4, max_per_prefix: 9, ..settings() };
         let mut crowd = Crowd::of(settings);
-        let mut held: BTreeMap<Number, (u32, bool)> = BTreeMap::new();
-        let mut all: Vec<Number> = Vec::new();
+        let mut held: BTreeMap<ConnectionNumber, (u32, bool)> = BTreeMap::new();
+        let mut all: Vec<ConnectionNumber> = Vec::new();
         let states = [
-            State::Parting, State::Unproven, State::Curious, State::Resting, State::Asking, State::Answered,
+            State::Closing, State::NoRequest, State::IdleNoText, State::Idle, State::ReadingRequest, State::AwaitingResponse,
         ];
         for (n, deed) in deeds.into_iter().enumerate() {
             let ms = n as f64 * 10.0;
-            let pick = |which: u8, list: &[Number]| list.get(which as usize % list.len().max(1)).copied();
+            let pick = |which: u8, list: &[ConnectionNumber]| list.get(which as usize % list.len().max(1)).copied();
             match deed {
-                Deed::Comes(from, worth) => {
-                    let worth = [Worth::Unknown, Worth::Question, Worth::Text][worth as usize];
-                    let (number, answer) = crowd.comes(ms, u32::from(from) * 100, worth);
-                    if let Answer::Seated { instead_of } = answer {
-                        if let Some(gone) = instead_of {
+                Deed::Comes(from, priority) => {
+                    let priority = [Priority::Unknown, Priority::Query, Priority::Text][priority as usize];
+                    let (number, answer) = crowd.comes(ms, u32::from(from) * 100, priority);
+                    if let Decision::Admitted { evicted } = answer {
+                        if let Some(gone) = evicted {
                             let (_, answered) = held.remove(&gone).expect("one that holds a place makes room");
                             prop_assert!(!answered, "a request that is being answered is not cut off");
                         }
@@ -268,16 +279,16 @@
                 }
                 Deed::Enters(which, state) => if let Some(number) = pick(which, &all) {
                     let state = states[state as usize];
-                    crowd.tell(ms, Event::Enters { number, state });
+                    crowd.tell(ms, Event::StateChanged { number, state });
                     if let Some(entry) = held.get_mut(&number) {
-                        entry.1 = state == State::Answered;
+                        entry.1 = state == State::AwaitingResponse;
                     }
                 },
                 Deed::HandsIn(which) => if let Some(number) = pick(which, &all) {
-                    crowd.tell(ms, Event::HandedIn { number });
+                    crowd.tell(ms, Event::TextAccepted { number });
                 },
                 Deed::Ends(which) => if let Some(number) = pick(which, &all) {
-                    crowd.tell(ms, Event::Ended { number });
+                    crowd.tell(ms, Event::Closed { number });
                     held.remove(&number);
                     all.retain(|other| *other != number);
                 },
@@ -289,29 +300,30 @@
             }
         }
         for number in all {
-            crowd.tell(1e9, Event::Ended { number });
+            crowd.tell(1e9, Event::Closed { number });
         }
         prop_assert_eq!(crowd.connections.open(), (0, 0));
-        prop_assert_eq!(crowd.connections.busy(), 0);
+        prop_assert_eq!(crowd.connections.with_texts(), 0);
     }
 }
 
 /// For want of a descriptor the one that has been silent longest goes, and none that has only just come.
 #[test]
 fn one_that_has_just_come_makes_no_room_for_want_of_a_descriptor() {
-    let grace = Span::millis(100);
-    let mut connections = Connections::new(Settings { places: 10, grace, ..Settings::default() });
+    let first_request_grace = Span::millis(100);
+    let mut connections =
+        Connections::new(Settings { max_connections: 10, first_request_grace, ..Settings::default() });
     let address = IpAddr::from([10, 0, 0, 1]);
     let begin = Moment::from_millis(0.0);
     for number in [1, 2] {
-        let comes = Event::Comes { number: Number(number), address, worth: Worth::Unknown };
+        let comes = Event::Arrived { number: ConnectionNumber(number), address, priority: Priority::Unknown };
         let at = begin + Span::millis(60 * number as i64);
-        assert_eq!(connections.step(at, comes), Answer::Seated { instead_of: None });
+        assert_eq!(connections.step(at, comes), Decision::Admitted { evicted: None });
     }
     // The first came at 60 ms, the second at 120 ms.
-    let mut shortage = |millis| connections.step(begin + Span::millis(millis), Event::Shortage);
-    assert_eq!(shortage(159), Answer::Nothing);
-    assert_eq!(shortage(160), Answer::Leaves(Number(1)));
-    assert_eq!(shortage(219), Answer::Nothing);
-    assert_eq!(shortage(220), Answer::Leaves(Number(2)));
+    let mut shortage = |millis| connections.step(begin + Span::millis(millis), Event::DescriptorShortage);
+    assert_eq!(shortage(159), Decision::NoChange);
+    assert_eq!(shortage(160), Decision::Evict(ConnectionNumber(1)));
+    assert_eq!(shortage(219), Decision::NoChange);
+    assert_eq!(shortage(220), Decision::Evict(ConnectionNumber(2)));
 }
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -7,13 +7,13 @@
 //!
 //! ```
 //! use indigomast::time::{Moment, Span};
-//! use indigomast_handover::{Incumbent, Seen, Settings, Step};
+//! use indigomast_handover::{Incumbent, Observation, Settings, Step};
 //! let mut old = Incumbent::new(Settings::default());
-//! let asked = Seen { asked: true, out: true, heard: false };
+//! let asked = Observation { successor_waits: true, calls_out: true, clients_answered: false };
 //! let start = Moment::from_millis(0.0);
-//! assert_eq!(old.step(start, asked), Some(Step::Hold));
-//! assert_eq!(old.step(start, Seen { out: false, ..asked }), Some(Step::StopAccepting));
-//! assert_eq!(old.step(start, Seen { out: false, heard: true, ..asked }), Some(Step::Leave));
+//! assert_eq!(old.step(start, asked), Some(Step::StopSubmitting));
+//! assert_eq!(old.step(start, Observation { calls_out: false, ..asked }), Some(Step::StopAccepting));
+//! assert_eq!(old.step(start, Observation { calls_out: false, clients_answered: true, ..asked }), Some(Step::Exit));
 //! ```
 
 use indigomast::time::{Moment, Span};
@@ -21,39 +21,43 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
     /// How long calls that are out are waited for once nothing new goes out.
-    pub quiet: Span,
+    pub max_call_drain: Span,
     /// How long clients that have begun are heard out once nobody new is let in.
-    pub closing: Span,
+    pub max_client_drain: Span,
     /// How long a successor waits before it says that it is ready though it doesn't own.
-    pub unheard: Span,
+    pub ready_after: Span,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
-        Settings { quiet: Span::millis(700), closing: Span::millis(400), unheard: Span::millis(3000) }
+        Settings {
+            max_call_drain: Span::millis(700),
+            max_client_drain: Span::millis(400),
+            ready_after: Span::millis(3000),
+        }
     }
 }
 
 /// What the old process sees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct Observation {
     /// A successor waits.
-    pub asked: bool,
+    pub successor_waits: bool,
     /// Calls are out.
-    pub out: bool,
+    pub calls_out: bool,
     /// Every client that was let in has its answer, and none can be let in.
-    pub heard: bool,
+    pub clients_answered: bool,
 }
 
 /// What the old process has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Nothing new goes out. Texts are still taken on, on connections that end with their answer.
-    Hold,
+    StopSubmitting,
     /// Nobody new is let in; connections at rest end.
     StopAccepting,
     /// Writes what it has learnt and ends. There is no way back from here.
-    Leave,
+    Exit,
     /// Serves as before.
     Resume,
 }
@@ -80,18 +84,20 @@
         Incumbent { settings, stage: Stage::Serving }
     }
 
-    pub fn step(&mut self, now: Moment, seen: Seen) -> Option<Step> {
-        let Settings { quiet, closing, .. } = self.settings;
-        let (stage, step) = match (self.stage, seen.asked) {
+    pub fn step(&mut self, now: Moment, seen: Observation) -> Option<Step> {
+        let Settings { max_call_drain, max_client_drain, .. } = self.settings;
+        let (stage, step) = match (self.stage, seen.successor_waits) {
             (Stage::Left | Stage::Serving, false) | (Stage::Left | Stage::Staying, true) => return None,
             (Stage::Staying, false) => (Stage::Serving, Some(Step::Resume)),
-            (Stage::Serving, true) => (Stage::Quiet(now), Some(Step::Hold)),
+            (Stage::Serving, true) => (Stage::Quiet(now), Some(Step::StopSubmitting)),
             (Stage::Quiet(_) | Stage::Closing(_), false) => (Stage::Serving, Some(Step::Resume)),
-            (Stage::Quiet(since), true) if !seen.out || now.since(since) >= quiet => {
+            (Stage::Quiet(since), true) if !seen.calls_out || now.since(since) >= max_call_drain => {
                 (Stage::Closing(now), Some(Step::StopAccepting))
             }
-            (Stage::Closing(since), true) if seen.heard || now.since(since) >= closing => {
-                (Stage::Left, Some(Step::Leave))
+            (Stage::Closing(since), true)
+                if seen.clients_answered || now.since(since) >= max_client_drain =>
+            {
+                (Stage::Left, Some(Step::Exit))
             }
             (Stage::Quiet(_) | Stage::Closing(_), true) => return None,
         };
@@ -100,24 +106,24 @@
     }
 
     /// What it has learnt can't be written, so the next one would break what was promised: it serves on.
-    pub fn cant_leave(&mut self) -> Step {
+    pub fn exit_failed(&mut self) -> Step {
         self.stage = Stage::Staying;
         Step::Resume
     }
 
     /// Whether steps are being taken.
-    pub fn is_leaving(&self) -> bool {
+    pub fn is_handing_over(&self) -> bool {
         matches!(self.stage, Stage::Quiet(_) | Stage::Closing(_) | Stage::Left)
     }
 }
 
 /// What the new process has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Move {
+pub enum SuccessorStep {
     /// Reads what is left and serves.
-    Own,
+    TakeOver,
     /// Says that it is ready: only the operators can end the old process.
-    StandBy,
+    ReportReady,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -140,16 +146,16 @@
     }
 
     /// `owns` is whether the owner's lock could be had just now.
-    pub fn step(&mut self, now: Moment, owns: bool) -> Option<Move> {
+    pub fn step(&mut self, now: Moment, owns: bool) -> Option<SuccessorStep> {
         match self.wait {
             Wait::Over => None,
             _ if owns => {
                 self.wait = Wait::Over;
-                Some(Move::Own)
+                Some(SuccessorStep::TakeOver)
             }
-            Wait::Since(since) if now.since(since) >= self.settings.unheard => {
+            Wait::Since(since) if now.since(since) >= self.settings.ready_after => {
                 self.wait = Wait::StandingBy;
-                Some(Move::StandBy)
+                Some(SuccessorStep::ReportReady)
             }
             Wait::Since(_) | Wait::StandingBy => None,
         }
--- a/crates/handover/tests/walk.rs
+++ b/crates/handover/tests/walk.rs
@@ -1,13 +1,17 @@
 //! Every order of the steps of two processes and of what may befall them, with locks as the kernel keeps them.
 
 use indigomast::time::{Moment, Span};
-use indigomast_handover::{Incumbent, Move, Seen, Settings, Step, Successor};
+use indigomast_handover::{Incumbent, Observation, Settings, Step, Successor, SuccessorStep};
 use std::collections::{HashMap, VecDeque};
 
 const TICK: f64 = 100.0;
 
 fn settings() -> Settings {
-    Settings { quiet: Span::millis(200), closing: Span::millis(200), unheard: Span::millis(300) }
+    Settings {
+        max_call_drain: Span::millis(200),
+        max_client_drain: Span::millis(200),
+        ready_after: Span::millis(300),
+    }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -18,7 +22,7 @@
         submits: bool,
         accepts: bool,
         machine: Incumbent,
-        out: bool,
+        calls_out: bool,
     },
     Waits {
         machine: Successor,
@@ -53,8 +57,12 @@
 
 impl World {
     fn start() -> World {
-        let owner =
-            Side::Owner { submits: true, accepts: true, machine: Incumbent::new(settings()), out: true };
+        let owner = Side::Owner {
+            submits: true,
+            accepts: true,
+            machine: Incumbent::new(settings()),
+            calls_out: true,
+        };
         World {
             tick: 0,
             sides: [owner, Side::Dead],
@@ -93,37 +101,39 @@
                     self.next.get_or_insert(at);
                 }
                 match machine.step(now, owns) {
-                    Some(Move::Own) => {
+                    Some(SuccessorStep::TakeOver) => {
                         self.next = self.next.filter(|holder| *holder != at);
                         self.state_written = false;
                         let machine = Incumbent::new(settings());
-                        self.sides[at] = Side::Owner { submits: true, accepts: true, machine, out: false };
+                        self.sides[at] =
+                            Side::Owner { submits: true, accepts: true, machine, calls_out: false };
                         return;
                     }
-                    Some(Move::StandBy) => says_ready = true,
+                    Some(SuccessorStep::ReportReady) => says_ready = true,
                     None => {}
                 }
                 self.sides[at] = Side::Waits { machine, says_ready };
             }
-            Side::Owner { mut submits, mut accepts, mut machine, mut out } => {
-                let asked = self.next.is_some_and(|holder| holder != at);
-                let mut step = machine.step(now, Seen { asked, out, heard: !accepts });
-                if step == Some(Step::Leave) {
+            Side::Owner { mut submits, mut accepts, mut machine, mut calls_out } => {
+                let successor_waits = self.next.is_some_and(|holder| holder != at);
+                let mut step =
+                    machine.step(now, Observation { successor_waits, calls_out, clients_answered: !accepts });
+                if step == Some(Step::Exit) {
                     assert!(!submits && !accepts, "left while it served");
                     if !self.no_room {
                         self.state_written = true;
                         return self.dies(at);
                     }
-                    step = Some(machine.cant_leave());
+                    step = Some(machine.exit_failed());
                 }
                 match step {
-                    Some(Step::Hold) => submits = false,
+                    Some(Step::StopSubmitting) => submits = false,
                     Some(Step::StopAccepting) => accepts = false,
                     Some(Step::Resume) => (submits, accepts) = (true, true),
-                    Some(Step::Leave) | None => {}
+                    Some(Step::Exit) | None => {}
                 }
-                out |= submits;
-                self.sides[at] = Side::Owner { submits, accepts, machine, out };
+                calls_out |= submits;
+                self.sides[at] = Side::Owner { submits, accepts, machine, calls_out };
             }
         }
     }
@@ -142,7 +152,7 @@
                 next.sides[at] = Side::Waits { machine, says_ready: false };
             }
             Happens::Answered(at) => match &mut next.sides[at] {
-                Side::Owner { out, .. } if *out => *out = false,
+                Side::Owner { calls_out, .. } if *calls_out => *calls_out = false,
                 _ => return None,
             },
             Happens::DiskFills if !self.no_room => next.no_room = true,
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -9,7 +9,7 @@
 use indigomast_sender::limits::{Grant, Limits};
 use indigomast_sender::list::{Listed, Listing, Page};
 use indigomast_sender::places::Places;
-use indigomast_site::{BootInfo, Names, read};
+use indigomast_site::{BootInfo, Names, parse_json};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -115,7 +115,7 @@
 }
 
 pub fn parse_list(text: &str, site: &Site, limits: &Limits) -> Result<Listing, String> {
-    Listing::of(read::<Page>(text)?, site, limits)
+    Listing::of(parse_json::<Page>(text)?, site, limits)
 }
 
 /// The decisions with what stands around them at a sender for each destination.
@@ -142,7 +142,7 @@
         Hollow {
             rules: Rules::new(settings, seed),
             places: Places::default(),
-            dests: Names::of(Vec::new()),
+            dests: Names::from_list(Vec::new()),
             now,
             next: 0,
             wake: now,
@@ -183,7 +183,7 @@
             told.insert(at);
             place.address = member.address.or(place.address);
             let Listed { dest, kind, zone, units, condition, .. } = member;
-            let dest = DestId(self.dests.place(&dest));
+            let dest = DestId(self.dests.index_or_insert(&dest));
             entries.push(Entry { endpoint: at, dest, kind, zone, units, condition });
         }
         if listing.complete {
--- a/crates/scale/src/roles/products.rs
+++ b/crates/scale/src/roles/products.rs
@@ -8,7 +8,7 @@
 use indigomast_sender::config::Site;
 use indigomast_sender::figures::Figures;
 use indigomast_sender::terms::Table;
-use indigomast_site::{BootInfo, read};
+use indigomast_site::{BootInfo, parse_json};
 
 pub struct Products;
 
@@ -33,7 +33,7 @@
     fn measure(&self, size: f64, seed: u64, meter: &Meter) -> Result<Vec<Reading>, String> {
         let text = settings(target::SENDERS as usize, 0, size as usize).to_string();
         let before = meter.mark();
-        let info: BootInfo = read(&text)?;
+        let info: BootInfo = parse_json(&text)?;
         let site = Site::of(info)?;
         let mut table = Table::default();
         table.take(&site.info);
--- a/crates/sender/src/accept_queue.rs
+++ b/crates/sender/src/accept_queue.rs
@@ -7,7 +7,7 @@
 use crate::intake::{Intake, PendingConnection, say_last};
 use crate::reactor::{Come, peek};
 use crossbeam_channel::{Receiver, RecvTimeoutError};
-use indigomast_admission::Worth;
+use indigomast_admission::Priority;
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
@@ -95,15 +95,15 @@
 
     fn look(&mut self, (since, pending): (Instant, PendingConnection)) {
         let limits = Arc::clone(&self.intake.limits);
-        let worth = match first(&pending.stream) {
+        let priority = match first(&pending.stream) {
             First::Nothing if since.elapsed() < limits.request_time => {
                 return self.waiting.push_back((since, pending));
             }
             First::Nothing | First::Ended => return,
-            First::Text => Worth::Text,
-            First::Question => Worth::Question,
+            First::Text => Priority::Text,
+            First::Question => Priority::Query,
         };
-        let Some(pending) = self.intake.seat(pending, worth) else { return };
+        let Some(pending) = self.intake.seat(pending, priority) else { return };
         self.intake.counters.turned_away.add(1);
         if say_last(&pending.stream, 503) {
             self.told.push_back((Instant::now(), pending));
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -5,7 +5,7 @@
 use crate::list::{self, Listing, Source};
 use crate::notices::Reporter;
 use crate::versions;
-use indigomast_site::{BootInfo, Complaint, Names, read};
+use indigomast_site::{BootInfo, Complaint, Names, parse_json};
 use rustix::process::{Resource, getrlimit};
 use serde::Deserialize;
 use serde_json::Value;
@@ -90,11 +90,11 @@
         }
         let names: Vec<String> = info.categories.iter().map(|category| category.name.clone()).collect();
         Ok(Site {
-            products: Names::of(names.clone()),
+            products: Names::from_list(names.clone()),
             ends: names.iter().map(|_| Arc::default()).collect(),
             references: names,
-            kinds: Names::of(info.kinds.clone()),
-            zones: Names::of(info.localities.clone()),
+            kinds: Names::from_list(info.kinds.clone()),
+            zones: Names::from_list(info.localities.clone()),
             connect_time: time(info.ceilings.connect_timeout_ms, "connect-timeout-ms")?,
             keeps_alive: time(info.ceilings.keepalive_ms, "keepalive-ms")?,
             info,
@@ -250,7 +250,7 @@
     }
 
     fn read(text: &str, state: PathBuf, control: Option<SocketAddr>) -> Result<Config, Complaint> {
-        let file: File = read(text)?;
+        let file: File = parse_json(text)?;
         let control = control.or(file.control);
         let seed = u64::from_str_radix(&file.seed, 16).map_err(|e| format!("seed: {:?}: {e}", file.seed))?;
         let site = Site::of(file.settings).map_err(|e| format!("settings.{e}"))?;
--- a/crates/sender/src/decider.rs
+++ b/crates/sender/src/decider.rs
@@ -24,7 +24,7 @@
 use indigomast::rules::Rules;
 use indigomast::time::{Moment, Span};
 use indigomast_admission::OverloadDetector;
-use indigomast_handover::{Incumbent, Seen, Step};
+use indigomast_handover::{Incumbent, Observation, Step};
 use indigomast_site::Names;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::ErrorKind;
@@ -236,12 +236,12 @@
                     Rules::successor(settings, seed, learnt),
                     Places::successor(endpoints, next_endpoint),
                     Ids::successor(ids),
-                    Names::of(dests),
+                    Names::from_list(dests),
                     Keys::successor(keys, next_key),
                 )
             }
             None => {
-                let none = Names::of(Vec::new());
+                let none = Names::from_list(Vec::new());
                 (Rules::new(settings, seed), Places::default(), Ids::default(), none, Keys::default())
             }
         };
@@ -303,7 +303,7 @@
             if late > span(self.limits.stall) {
                 thread::sleep(self.limits.stall_pause);
             }
-            if self.overload.late(self.clock.now(), late) {
+            if self.overload.record_delay(self.clock.now(), late) {
                 self.counters.stalls.add(1);
             }
             heard.extend(words.try_iter().take(self.limits.mailbox));
@@ -348,10 +348,11 @@
     fn hands_over(&mut self, words: &Receiver<Word>) -> bool {
         let now = self.clock.now();
         let Some(Handover { watch, machine, intake, folder }) = &mut self.handover else { return false };
-        let asked = watch.asked();
-        let heard = machine.is_leaving() && intake.all_heard();
-        let mut step = machine.step(now, Seen { asked, out: !self.out.is_empty(), heard });
-        if step == Some(Step::Leave) {
+        let successor_waits = watch.asked();
+        let clients_answered = machine.is_handing_over() && intake.all_heard();
+        let mut step = machine
+            .step(now, Observation { successor_waits, calls_out: !self.out.is_empty(), clients_answered });
+        if step == Some(Step::Exit) {
             let folder = folder.clone();
             words.try_iter().for_each(|word| self.hear(word));
             // What came in just now is decided on too, so that no wait told at the last moment is lost.
@@ -368,11 +369,11 @@
                 return true;
             };
             log!("another process can't take over: {e}");
-            step = self.handover.as_mut().map(|handover| handover.machine.cant_leave());
+            step = self.handover.as_mut().map(|handover| handover.machine.exit_failed());
         }
         let Some(Handover { intake, .. }) = &self.handover else { return false };
         match step {
-            Some(Step::Hold) => {
+            Some(Step::StopSubmitting) => {
                 log!("another process waits to take over");
                 intake.leaves(true);
                 self.hold(Holds { handover: true, ..self.holds });
@@ -384,7 +385,7 @@
                 intake.leaves(false);
                 self.hold(Holds { handover: false, ..self.holds });
             }
-            Some(Step::Leave) | None => {}
+            Some(Step::Exit) | None => {}
         }
         false
     }
@@ -673,13 +674,13 @@
                 return;
             }
         }
-        if !self.dests.knows(&info.dest) {
+        if !self.dests.contains(&info.dest) {
             _ = reply.try_send(Admission::NoSuchDest);
             return;
         }
         let now = self.clock.now();
         // What lay unread while this sender stood still was sent up to a client's patience earlier than it came.
-        info.until_ms -= self.overload.unread(now, span(self.limits.admission)).as_millis();
+        info.until_ms -= self.overload.max_unread_time(now, span(self.limits.admission)).as_millis();
         let left = Moment::from_millis(info.until_ms).since(now);
         if let Err(again) = self.overload.admit(now, left, span(came.elapsed())) {
             self.counters.turned_away_late.add(1);
@@ -724,7 +725,7 @@
         Handed {
             text,
             product: self.table.find(&info.product).expect("terms last as long as their texts"),
-            dest: DestId(self.dests.place(&info.dest)),
+            dest: DestId(self.dests.index_or_insert(&info.dest)),
             key: info.key.as_deref().and_then(|key| self.keys.find(key)),
             valid_until: Moment::from_millis(info.until_ms),
         }
@@ -790,7 +791,7 @@
                 }
                 None => {
                     let past = owed.past(|zone| {
-                        let known = self.site.zones.find(&zone.to_owned(), "zone");
+                        let known = self.site.zones.index_of(&zone.to_owned(), "zone");
                         ZoneId(known.unwrap_or(usize::MAX))
                     });
                     let handed = self.handed(text, info);
@@ -830,7 +831,7 @@
             }
             entries.push(Entry {
                 endpoint: at,
-                dest: DestId(self.dests.place(&member.dest)),
+                dest: DestId(self.dests.index_or_insert(&member.dest)),
                 kind: member.kind,
                 zone: member.zone,
                 units: member.units,
@@ -850,7 +851,7 @@
     fn deleted(&mut self, endpoint: EndpointId) -> Option<Entry> {
         let place = self.places.get(endpoint)?;
         let (dest, kind, zone, units) = (place.dest, place.kind, place.zone, place.units);
-        let dest = DestId(self.dests.place(&dest));
+        let dest = DestId(self.dests.index_or_insert(&dest));
         Some(Entry { endpoint, dest, kind, zone, units, condition: Condition::Deleted })
     }
 
--- a/crates/sender/src/intake.rs
+++ b/crates/sender/src/intake.rs
@@ -15,7 +15,7 @@
 use crossbeam_channel::{Sender, bounded};
 use indigomast::time::{Moment, Span};
 use indigomast_admission::{
-    Answer, Budget, Connections, Event, Number, Purpose, Reason, Settings, State, Token, Worth,
+    Budget, ConnectionNumber, Connections, Decision, Event, Priority, Purpose, Reason, Settings, State, Token,
 };
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::collections::BTreeMap;
@@ -57,11 +57,11 @@
 struct Seats {
     connections: Connections,
     /// Each with whether it was ended by this sender, for reading: what is read from then on is not sent on.
-    streams: BTreeMap<Number, (Arc<TcpStream>, bool)>,
+    streams: BTreeMap<ConnectionNumber, (Arc<TcpStream>, bool)>,
 }
 
 impl Seats {
-    fn shut(&mut self, number: Number) {
+    fn shut(&mut self, number: ConnectionNumber) {
         if let Some((stream, shut)) = self.streams.get_mut(&number) {
             *shut = true;
             _ = stream.shutdown(Shutdown::Read);
@@ -84,23 +84,28 @@
         self.lock().connections.step(self.clock.now(), event);
     }
 
-    pub fn enters(&self, number: Number, state: State) {
-        self.tell(Event::Enters { number, state });
+    pub fn enters(&self, number: ConnectionNumber, state: State) {
+        self.tell(Event::StateChanged { number, state });
     }
 
     /// A number for one more connection, or why there is no place for it.
-    fn admit(&self, stream: &Arc<TcpStream>, address: IpAddr, worth: Worth) -> Result<Number, Reason> {
-        let number = Number(self.next.fetch_add(1, Ordering::Relaxed));
+    fn admit(
+        &self,
+        stream: &Arc<TcpStream>,
+        address: IpAddr,
+        priority: Priority,
+    ) -> Result<ConnectionNumber, Reason> {
+        let number = ConnectionNumber(self.next.fetch_add(1, Ordering::Relaxed));
         let now = self.clock.now();
         let mut seats = self.lock();
-        match seats.connections.step(now, Event::Comes { number, address, worth }) {
-            Answer::Seated { instead_of } => {
-                instead_of.into_iter().for_each(|gone| seats.shut(gone));
+        match seats.connections.step(now, Event::Arrived { number, address, priority }) {
+            Decision::Admitted { evicted } => {
+                evicted.into_iter().for_each(|gone| seats.shut(gone));
                 seats.streams.insert(number, (Arc::clone(stream), false));
                 Ok(number)
             }
-            Answer::TurnedAway(reason) => Err(reason),
-            Answer::Nothing | Answer::Leaves(_) => Err(Reason::Full),
+            Decision::Rejected(reason) => Err(reason),
+            Decision::NoChange | Decision::Evict(_) => Err(Reason::Full),
         }
     }
 
@@ -108,31 +113,31 @@
     fn make_room(&self) {
         let now = self.clock.now();
         let mut seats = self.lock();
-        if let Answer::Leaves(number) = seats.connections.step(now, Event::Shortage) {
+        if let Decision::Evict(number) = seats.connections.step(now, Event::DescriptorShortage) {
             seats.shut(number);
         }
     }
 
-    fn ended(&self, number: Number) {
+    fn ended(&self, number: ConnectionNumber) {
         let now = self.clock.now();
         let mut seats = self.lock();
-        seats.connections.step(now, Event::Ended { number });
+        seats.connections.step(now, Event::Closed { number });
         seats.streams.remove(&number);
     }
 
     /// Whether clients hold so many connections that some may soon find none. Those who only ask or are silent
     /// hold none that these could have.
     fn crowd(&self, limits: &Limits) -> bool {
-        self.lock().connections.busy() >= limits.crowd
+        self.lock().connections.with_texts() >= limits.crowd
     }
 
     /// Ends the connections at rest; clients find other senders. Not those that have never asked: they may be about to, and
     /// can't know that nobody would look at it.
     pub fn shut_rested(&self) {
         let mut seats = self.lock();
-        let new = seats.connections.up_to(State::Unproven).len();
+        let new = seats.connections.in_states_up_to(State::NoRequest).len();
         // In the order of their states.
-        let rested = seats.connections.up_to(State::Resting).into_iter().skip(new);
+        let rested = seats.connections.in_states_up_to(State::Idle).into_iter().skip(new);
         rested.for_each(|number| seats.shut(number));
     }
 
@@ -140,17 +145,17 @@
     fn shut_silent(&self, since: Span) {
         let now = self.clock.now();
         let mut seats = self.lock();
-        let silent = seats.connections.silent(now, since);
+        let silent = seats.connections.without_request(now, since);
         silent.into_iter().for_each(|number| seats.shut(number));
     }
 
     /// Takes up what has come on a connection, unless it was shut before.
-    pub fn takes_up(&self, number: Number) -> bool {
+    pub fn takes_up(&self, number: ConnectionNumber) -> bool {
         let now = self.clock.now();
         let mut seats = self.lock();
         let open = seats.streams.get(&number).is_some_and(|(_, shut)| !shut);
         if open {
-            seats.connections.step(now, Event::Enters { number, state: State::Asking });
+            seats.connections.step(now, Event::StateChanged { number, state: State::ReadingRequest });
         }
         open
     }
@@ -160,13 +165,13 @@
         self.lock().streams.len()
     }
 
-    fn is_shut(&self, number: Number) -> bool {
+    fn is_shut(&self, number: ConnectionNumber) -> bool {
         self.lock().streams.get(&number).is_none_or(|(_, shut)| *shut)
     }
 
     /// Connections turned away so far, by reason.
     pub fn turned_away(&self) -> Vec<(Reason, u64)> {
-        self.lock().connections.turned_away().collect()
+        self.lock().connections.rejected().collect()
     }
 }
 
@@ -361,7 +366,7 @@
         // Those behind it wait in the listen backlog meanwhile, which loses nobody; ended unheard at once, a client
         // with a text would be lost in any burst that this thread takes faster than the queue looks at it.
         if let Some(pending) =
-            self.seat(PendingConnection { stream, address, token, over: false }, Worth::Unknown)
+            self.seat(PendingConnection { stream, address, token, over: false }, Priority::Unknown)
             && queue.send_timeout(pending, self.limits.accept_queue_time).is_err()
         {
             self.counters.unheard.add(1);
@@ -372,7 +377,7 @@
     fn token(&self, purpose: Purpose, within: Duration) -> Option<Token> {
         let by = Instant::now() + within;
         loop {
-            let token = self.budget.take(purpose);
+            let token = self.budget.acquire(purpose);
             if token.is_some() || Instant::now() >= by {
                 return token;
             }
@@ -381,13 +386,17 @@
     }
 
     /// Gives a connection a place, or gives it back.
-    pub fn seat(self: &Arc<Intake>, pending: PendingConnection, worth: Worth) -> Option<PendingConnection> {
+    pub fn seat(
+        self: &Arc<Intake>,
+        pending: PendingConnection,
+        priority: Priority,
+    ) -> Option<PendingConnection> {
         let PendingConnection { stream, address, token, over } = pending;
         let stream = Arc::new(stream);
         let back = |stream: Arc<TcpStream>, token, over| {
             Arc::into_inner(stream).map(|stream| PendingConnection { stream, address, token, over })
         };
-        let number = match self.clients.admit(&stream, address, worth) {
+        let number = match self.clients.admit(&stream, address, priority) {
             Ok(number) => number,
             Err(reason) => {
                 let over = !matches!(reason, Reason::Full | Reason::Reserved);
@@ -396,7 +405,7 @@
         };
         // Those that made room are open until it was seen; descriptors are counted.
         let by = Instant::now() + self.limits.accept_pause;
-        let mut passed = token.pass_on(Purpose::Client);
+        let mut passed = token.transfer(Purpose::Client);
         while let Err(token) = passed {
             if Instant::now() >= by {
                 // Its place stays free for whoever comes next, itself among them.
@@ -404,7 +413,7 @@
                 return back(stream, token, over);
             }
             thread::sleep(Duration::from_millis(1));
-            passed = token.pass_on(Purpose::Client);
+            passed = token.transfer(Purpose::Client);
         }
         let session = Box::new(Session::new(number, stream, passed.expect("the loop ends with it")));
         let at = self.next_look(&session);
@@ -430,7 +439,7 @@
         match session.begun {
             Some(since) if limits.least_rate > 0.0 => (since + limits.request_time).min(beat()),
             Some(since) => since + limits.request_time,
-            None if session.rests == State::Resting => (session.rested + limits.client_rest).max(beat()),
+            None if session.rests == State::Idle => (session.rested + limits.client_rest).max(beat()),
             None => session.rested + limits.idle_client,
         }
     }
@@ -448,7 +457,7 @@
             None => {
                 let rested = session.rested.elapsed();
                 rested >= limits.idle_client
-                    || (session.rests == State::Resting
+                    || (session.rests == State::Idle
                         && rested >= limits.client_rest
                         && self.clients.crowd(limits))
             }
@@ -464,8 +473,8 @@
     }
 
     /// Answers and ends a connection on which more may still come, so that the answer is not lost in a reset.
-    pub fn part(&self, number: Number, mut stream: &TcpStream, status: u16) {
-        self.clients.enters(number, State::Parting);
+    pub fn part(&self, number: ConnectionNumber, mut stream: &TcpStream, status: u16) {
+        self.clients.enters(number, State::Closing);
         self.slow_down(status);
         if !say_last(stream, status) {
             return;
@@ -499,9 +508,9 @@
                         self.part(number, &stream, 400);
                         return false;
                     }
-                    self.clients.enters(number, State::Answered);
+                    self.clients.enters(number, State::AwaitingResponse);
                     if request.method == "POST" {
-                        session.rests = State::Resting;
+                        session.rests = State::Idle;
                     }
                     match self.answer(
                         number,
@@ -512,7 +521,7 @@
                         &mut session.proven,
                     ) {
                         Next::Goes if session.inward.is_empty() => self.clients.enters(number, session.rests),
-                        Next::Goes => self.clients.enters(number, State::Asking),
+                        Next::Goes => self.clients.enters(number, State::ReadingRequest),
                         Next::Ends => {
                             _ = stream.shutdown(Shutdown::Both);
                             return false;
@@ -533,7 +542,7 @@
             }
             match session.read() {
                 Ok(0) => return false,
-                Ok(_) => self.clients.enters(number, State::Asking),
+                Ok(_) => self.clients.enters(number, State::ReadingRequest),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     // One that trickles is never at rest when its time is up.
                     let in_time = session.begun.is_none() || matches!(self.due(session), Due::Later(_));
@@ -555,7 +564,7 @@
 
     fn answer(
         &self,
-        number: Number,
+        number: ConnectionNumber,
         stream: &TcpStream,
         outward: &mut Ring,
         request: Request,
@@ -568,7 +577,7 @@
         let path = request.path.split(['?', '#']).next().unwrap_or_default();
         let first = path.trim_start_matches('/').split('/').next().unwrap_or_default();
         let site = self.site.get();
-        let product = site.products.find(&first.to_owned(), "product").ok();
+        let product = site.products.index_of(&first.to_owned(), "product").ok();
         let (status, body) = match (request.method.as_str(), path) {
             ("GET" | "HEAD", "/up") => (if stopping { 503 } else { 200 }, String::new()),
             ("GET" | "HEAD", "/alive") => (200, String::new()),
@@ -634,7 +643,7 @@
                         http::put_answer(outward, 202, "", close);
                         let heard = outward.drain_to(&mut &*stream).is_ok();
                         if heard && !std::mem::replace(proven, true) {
-                            self.clients.tell(Event::HandedIn { number });
+                            self.clients.tell(Event::TextAccepted { number });
                         }
                         _ = self.decider.send(if heard { Word::Heard(text) } else { Word::Gone(text) });
                         if heard && !close { Next::Goes } else { Next::Ends }
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -47,7 +47,7 @@
 use crossbeam_channel::{Receiver, bounded};
 use figures::Figures;
 use indigomast_admission::Budget;
-use indigomast_handover::{Incumbent, Move, Successor};
+use indigomast_handover::{Incumbent, Successor, SuccessorStep};
 use limits::Limits;
 use list::Source;
 use list_file::{LastList, ListKeeper};
@@ -420,10 +420,10 @@
             asking = handover::Asking::begin(state).map_err(complain)?;
         }
         let step = machine.step(clock.now(), owned.is_some());
-        if let (Some(Move::Own), Some(wal)) = (step, owned) {
+        if let (Some(SuccessorStep::TakeOver), Some(wal)) = (step, owned) {
             return Ok(wal);
         }
-        if step == Some(Move::StandBy) {
+        if step == Some(SuccessorStep::ReportReady) {
             // Before it is said: whoever reads it asks.
             ready.store(true, Ordering::Relaxed);
             log!("the process before doesn't let go of the journal; its end is waited for");
--- a/crates/sender/src/limits.rs
+++ b/crates/sender/src/limits.rs
@@ -355,12 +355,12 @@
             stop_beat: Duration::from_millis(20),
             last_answers: Duration::from_millis(150),
             connections: Settings {
-                places: clients,
+                max_connections: clients,
                 known_for: Span::millis(3_600_000),
-                new_at_once: 50.0,
-                addresses: 4096,
-                pause: Span::millis(500),
-                grace: Span::millis(100),
+                new_burst: 50.0,
+                max_remembered: 4096,
+                stalled_after: Span::millis(500),
+                first_request_grace: Span::millis(100),
                 ..Settings::default()
             },
             least_rate: 0.0,
@@ -370,7 +370,7 @@
                 Purpose::Client => (clients, clients + leaving),
                 Purpose::Accept => (accept_queue, accept_queue),
                 Purpose::Gateway => (links, links + leaving),
-                Purpose::House => (0, 0),
+                Purpose::Internal => (0, 0),
             }),
         }
     }
@@ -418,16 +418,16 @@
             return Err("addresses: 0 would forget every client at once".into());
         }
         self.connections = Settings {
-            reserve: rules.reserve,
-            per_address: rules.per_address,
-            per_prefix: rules.per_prefix,
-            new_a_second: rules.new_a_second,
-            new_at_once: rules.new_at_once,
-            reading: rules.reading,
+            reserved_for_known: rules.reserve,
+            max_per_address: rules.per_address,
+            max_per_prefix: rules.per_prefix,
+            new_per_second: rules.new_a_second,
+            new_burst: rules.new_at_once,
+            max_reading_per_address: rules.reading,
             prefixes: Prefixes { v4: rules.prefix_v4, v6: rules.prefix_v6 },
             known_for: Span::from_millis(rules.known_for_s * 1000.0),
-            named: rules.named,
-            addresses: rules.addresses,
+            always_known: rules.named,
+            max_remembered: rules.addresses,
             ..self.connections
         };
         self.least_rate = rules.least_rate;
--- a/crates/sender/src/list.rs
+++ b/crates/sender/src/list.rs
@@ -14,7 +14,7 @@
 use indigomast::api::{Condition, KindId, ZoneId};
 use indigomast::list_lease::{Failure, LeaseSettings, ListLease, Subscription};
 use indigomast::time::{Moment, Span};
-use indigomast_site::{Complaint, read};
+use indigomast_site::{Complaint, parse_json};
 use serde::{Deserialize, Serialize};
 use std::io::{self, ErrorKind};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -72,8 +72,8 @@
         Ok(Listed {
             address,
             dest: member.cell,
-            kind: KindId(site.kinds.find(&member.flavor, "flavor")?),
-            zone: ZoneId(site.zones.find(&member.locality, "locality")?),
+            kind: KindId(site.kinds.index_of(&member.flavor, "flavor")?),
+            zone: ZoneId(site.zones.index_of(&member.locality, "locality")?),
             units: member.size,
             condition: match member.phase {
                 Phase::Ready => Condition::Running,
@@ -539,7 +539,7 @@
 
     fn read(&self, body: &[u8], whole: bool) -> Result<Listing, Complaint> {
         let text = std::str::from_utf8(body).map_err(|e| e.to_string())?;
-        let listing = Listing::of(read(text)?, &self.site.get(), &self.limits)?;
+        let listing = Listing::of(parse_json(text)?, &self.site.get(), &self.limits)?;
         if whole && !listing.complete {
             return Err("changes came where the whole list was asked for".into());
         }
--- a/crates/sender/src/peer.rs
+++ b/crates/sender/src/peer.rs
@@ -170,7 +170,7 @@
         let trunk = Arc::clone(&self.trunk);
         // Where few sockets are granted, connections that rest at some endpoints would keep calls from all
         // others. One that makes room is open a moment longer; no more can be so than calls may be out.
-        let Some(token) = trunk.budget.take(Purpose::Gateway) else {
+        let Some(token) = trunk.budget.acquire(Purpose::Gateway) else {
             return Err("no descriptor is left for it".into());
         };
         if trunk.budget.used(Purpose::Gateway) > trunk.limits.links && !trunk.resting.make_room() {
--- a/crates/sender/src/reactor.rs
+++ b/crates/sender/src/reactor.rs
@@ -9,7 +9,7 @@
 use crate::ring::Ring;
 use crate::{log, threads};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
-use indigomast_admission::{Number, State, Token};
+use indigomast_admission::{ConnectionNumber, State, Token};
 use rustix::event::{Timespec, epoll};
 use rustix::io::retry_on_intr;
 use rustix::net::RecvFlags;
@@ -24,7 +24,7 @@
 
 /// One client's connection, and how far its request has come.
 pub struct Session {
-    pub number: Number,
+    pub number: ConnectionNumber,
     /// Goes before the token: the right to a descriptor is given back after the descriptor.
     pub stream: Arc<TcpStream>,
     pub token: Token,
@@ -42,9 +42,9 @@
 }
 
 impl Session {
-    pub fn new(number: Number, stream: Arc<TcpStream>, token: Token) -> Session {
+    pub fn new(number: ConnectionNumber, stream: Arc<TcpStream>, token: Token) -> Session {
         let (inward, outward, now) = (Ring::default(), Ring::default(), Instant::now());
-        let (begun, rests, rested) = (Some(now), State::Curious, now);
+        let (begun, rests, rested) = (Some(now), State::IdleNoText, now);
         Session { number, stream, token, inward, outward, begun, rests, rested, proven: false, armed: false }
     }
 
@@ -87,9 +87,9 @@
 
 #[derive(Default)]
 struct Parked {
-    sessions: BTreeMap<Number, (Instant, Box<Session>)>,
+    sessions: BTreeMap<ConnectionNumber, (Instant, Box<Session>)>,
     /// When each is looked at even if nothing came.
-    due: BTreeSet<(Instant, Number)>,
+    due: BTreeSet<(Instant, ConnectionNumber)>,
 }
 
 pub struct Reactor {
@@ -142,7 +142,7 @@
         }
     }
 
-    fn take(&self, number: Number) -> Option<Box<Session>> {
+    fn take(&self, number: ConnectionNumber) -> Option<Box<Session>> {
         let mut parked = self.lock();
         let (due, session) = parked.sessions.remove(&number)?;
         parked.due.remove(&(due, number));
@@ -169,7 +169,7 @@
             };
             for event in &events[..count] {
                 let data = event.data;
-                if let Some(session) = self.take(Number(data.u64())) {
+                if let Some(session) = self.take(ConnectionNumber(data.u64())) {
                     self.came(intake, session);
                 }
             }
--- a/crates/sender/tests/sender/edges.rs
+++ b/crates/sender/tests/sender/edges.rs
@@ -7,7 +7,7 @@
 use indigomast::api::*;
 use indigomast::rules::Rules;
 use indigomast::time::{Moment, Span};
-use indigomast_admission::{Budget, Number, Purpose, State, Worth};
+use indigomast_admission::{Budget, ConnectionNumber, Priority, Purpose, State};
 use indigomast_sender::clock::Clock;
 use indigomast_sender::config::{Config, InForce};
 use indigomast_sender::decider::Word;
@@ -281,7 +281,7 @@
     let (_discovery, _endpoint, config, folder) = world();
     let Config { mut limits, site, .. } =
         Config::parse(&config.to_string(), folder.state()).expect("well-formed");
-    limits.connections.places = 1;
+    limits.connections.max_connections = 1;
     let (decider, words) = unbounded();
     let budget = Budget::new(limits.descriptors, limits.shares);
     let (clock, limits, site) = (Clock::start(), Arc::new(limits), Arc::new(InForce::new(site)));
@@ -289,11 +289,11 @@
         Arc::new(Intake::new(clock, limits, Arc::default(), site, decider, budget).expect("descriptors"));
     let (client, stream) = seat(&intake);
     if rests {
-        let number = Number(0);
-        let token = intake.budget.take(Purpose::Accept).expect("there are enough");
+        let number = ConnectionNumber(0);
+        let token = intake.budget.acquire(Purpose::Accept).expect("there are enough");
         let mut session = Box::new(Session::new(number, Arc::new(stream), token));
-        (session.begun, session.rests, session.proven) = (None, State::Resting, true);
-        intake.clients.enters(number, State::Resting);
+        (session.begun, session.rests, session.proven) = (None, State::Idle, true);
+        intake.clients.enters(number, State::Idle);
         assert!(intake.reactor.park(session, Instant::now() + PATIENCE).is_ok());
     }
     (intake, words, client)
@@ -306,9 +306,9 @@
     client.set_read_timeout(Some(PATIENCE)).expect("a time is set");
     let (stream, from) = listener.accept().expect("it came");
     let copy = stream.try_clone().expect("a descriptor");
-    let token = intake.budget.take(Purpose::Accept).expect("there are enough");
+    let token = intake.budget.acquire(Purpose::Accept).expect("there are enough");
     let pending = PendingConnection { stream, address: from.ip(), token, over: false };
-    assert!(intake.seat(pending, Worth::Text).is_none(), "there is room");
+    assert!(intake.seat(pending, Priority::Text).is_none(), "there is room");
     (client, copy)
 }
 
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -10,7 +10,7 @@
 pub type Complaint = String;
 
 /// Reads JSON; a complaint names the field that is wrong.
-pub fn read<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, Complaint> {
+pub fn parse_json<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, Complaint> {
     // The path to what is wrong costs time, and next to nothing is ever wrong.
     if let Ok(value) = serde_json::from_str(text) {
         return Ok(value);
@@ -30,13 +30,13 @@
 }
 
 impl<T: Ord + Clone> Names<T> {
-    pub fn of(names: Vec<T>) -> Self {
+    pub fn from_list(names: Vec<T>) -> Self {
         let mut list = Names { index: BTreeMap::new(), names: Vec::new() };
-        names.iter().for_each(|name| _ = list.place(name));
+        names.iter().for_each(|name| _ = list.index_or_insert(name));
         list
     }
 
-    pub fn place(&mut self, name: &T) -> usize {
+    pub fn index_or_insert(&mut self, name: &T) -> usize {
         if let Some(&at) = self.index.get(name) {
             return at;
         }
@@ -53,7 +53,7 @@
         self.names.is_empty()
     }
 
-    pub fn knows(&self, name: &T) -> bool {
+    pub fn contains(&self, name: &T) -> bool {
         self.index.contains_key(name)
     }
 
@@ -61,7 +61,7 @@
         &self.names[at]
     }
 
-    pub fn find(&self, name: &T, field: &str) -> Result<usize, Complaint>
+    pub fn index_of(&self, name: &T, field: &str) -> Result<usize, Complaint>
     where
         T: std::fmt::Debug,
     {
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -5,7 +5,7 @@
 use indigomast::api::*;
 use indigomast::rules::Rules;
 use indigomast::time::{Moment, Span};
-use indigomast_site::{Complaint, Names, read};
+use indigomast_site::{Complaint, Names, parse_json};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -35,7 +35,7 @@
 impl Hosts {
     /// Answers one line of the wire.
     pub fn answer(&mut self, line: &str) -> Result<wire::Reply, Complaint> {
-        let batch: wire::Batch = read(line).map_err(|e| match serde_json::from_str(line) {
+        let batch: wire::Batch = parse_json(line).map_err(|e| match serde_json::from_str(line) {
             Ok(wire::Numbered { round: Some(n) }) => format!("batch {n}: {e}"),
             Ok(_) => format!("batch without a number: {e}"),
             Err(e) => format!("not JSON: {e}"),
@@ -56,17 +56,17 @@
     }
 
     fn take(&mut self, event: &str, order: &mut Vec<u64>) -> Result<(), Complaint> {
-        let head: wire::Head = read(event)?;
+        let head: wire::Head = parse_json(event)?;
         let within = |e: Complaint| format!("{}: {e}", head.msg);
         if head.msg == "Page" {
-            let page: wire::Page = read(event).map_err(within)?;
+            let page: wire::Page = parse_json(event).map_err(within)?;
             self.pages.insert(page.number, page.members_list);
             return Ok(());
         }
         let i = head.i.ok_or_else(|| within("missing field `i`".into()))?;
         match head.msg.as_str() {
             "Up" => {
-                let up: wire::Up = read(event).map_err(within)?;
+                let up: wire::Up = parse_json(event).map_err(within)?;
                 self.instances.insert(i, Instance::new(up).map_err(within)?);
             }
             "Killed" => _ = self.instances.remove(&i),
@@ -112,15 +112,15 @@
 impl Instance {
     fn new(up: wire::Up) -> Result<Instance, Complaint> {
         let info = up.boot_info;
-        let zones = Names::of(info.localities.clone());
+        let zones = Names::from_list(info.localities.clone());
         Ok(Instance {
             rules: Rules::new(info.decode(), up.seed as u64),
-            texts: Names::of(Vec::new()),
-            endpoints: Names::of(Vec::new()),
-            dests: Names::of(Vec::new()),
-            keys: Names::of(Vec::new()),
-            products: Names::of(info.categories.iter().map(|c| c.name.clone()).collect()),
-            kinds: Names::of(info.kinds),
+            texts: Names::from_list(Vec::new()),
+            endpoints: Names::from_list(Vec::new()),
+            dests: Names::from_list(Vec::new()),
+            keys: Names::from_list(Vec::new()),
+            products: Names::from_list(info.categories.iter().map(|c| c.name.clone()).collect()),
+            kinds: Names::from_list(info.kinds),
             zones,
             pending: Vec::new(),
             called: false,
@@ -128,7 +128,7 @@
     }
 
     fn text(&self, id: u32) -> Result<TextId, Complaint> {
-        Ok(TextId(self.texts.find(&id, "op-id")?))
+        Ok(TextId(self.texts.index_of(&id, "op-id")?))
     }
 
     fn take(
@@ -139,35 +139,35 @@
     ) -> Result<(), Complaint> {
         let event = match msg {
             "PeersKnown" => {
-                let known: wire::PeersKnown = read(event)?;
+                let known: wire::PeersKnown = parse_json(event)?;
                 self.listed(known, pages)?
             }
             "JobIn" => {
-                let job: wire::JobIn = read(event)?;
-                let product = ProductId(self.products.find(&job.class, "class")?);
-                if self.texts.knows(&job.op_id) {
+                let job: wire::JobIn = parse_json(event)?;
+                let product = ProductId(self.products.index_of(&job.class, "class")?);
+                if self.texts.contains(&job.op_id) {
                     return Err(format!("op-id: {} came before", job.op_id));
                 }
                 Event::Taken(Handed {
-                    text: TextId(self.texts.place(&job.op_id)),
+                    text: TextId(self.texts.index_or_insert(&job.op_id)),
                     product,
-                    dest: DestId(self.dests.place(&job.dest)),
-                    key: job.partition_key.map(|key| KeyId(self.keys.place(&key))),
+                    dest: DestId(self.dests.index_or_insert(&job.dest)),
+                    key: job.partition_key.map(|key| KeyId(self.keys.index_or_insert(&key))),
                     valid_until: Moment::from_millis(job.not_after_ms),
                 })
             }
             "Established" => {
-                let started: wire::Established = read(event)?;
+                let started: wire::Established = parse_json(event)?;
                 Event::Streaming { text: self.text(started.op_id)?, submit: started.hop }
             }
             "Answer" => {
-                let answer: wire::Answer = read(event)?;
+                let answer: wire::Answer = parse_json(event)?;
                 let verdict = verdict(answer.disposition)?;
                 let told = verdict == Verdict::Full && answer.note > 0.0;
                 Event::Outcome(Outcome {
                     text: self.text(answer.op_id)?,
                     submit: answer.hop,
-                    endpoint: EndpointId(self.endpoints.find(&answer.endpoint, "endpoint")?),
+                    endpoint: EndpointId(self.endpoints.index_of(&answer.endpoint, "endpoint")?),
                     verdict,
                     in_doubt: false,
                     told_wait: told.then(|| Span::from_millis(answer.note)),
@@ -177,27 +177,27 @@
                 })
             }
             "CancelledByClient" => {
-                let gone: wire::CancelledByClient = read(event)?;
+                let gone: wire::CancelledByClient = parse_json(event)?;
                 Event::Withdrawn(self.text(gone.op_id)?)
             }
             "ProbeDone" => {
-                let done: wire::ProbeDone = read(event)?;
+                let done: wire::ProbeDone = parse_json(event)?;
                 Event::Probed {
-                    endpoint: EndpointId(self.endpoints.find(&done.endpoint, "endpoint")?),
+                    endpoint: EndpointId(self.endpoints.index_of(&done.endpoint, "endpoint")?),
                     verdict: verdict(done.disposition)?,
                     latency: Span::from_millis(done.latency_ms),
                     allowance: allowance(done.telemetry)?,
                 }
             }
             "Due" => {
-                let due: wire::Due = read(event)?;
+                let due: wire::Due = parse_json(event)?;
                 if due.ctx != WAKE {
                     return Ok(());
                 }
                 Event::Woken
             }
             "Inbox" => {
-                let inbox: wire::Inbox = read(event)?;
+                let inbox: wire::Inbox = parse_json(event)?;
                 let bytes = BASE64_STANDARD.decode(&inbox.blob).map_err(|e| format!("blob: {e}"))?;
                 Event::Heard { from: inbox.src, bytes }
             }
@@ -222,10 +222,10 @@
         let page = pages.get(&number).ok_or_else(|| format!("ref: no page {number}"))?;
         let entries = page.iter().map(|member| {
             Ok(Entry {
-                endpoint: EndpointId(self.endpoints.place(&member.endpoint)),
-                dest: DestId(self.dests.place(&member.belongs_to)),
-                kind: KindId(self.kinds.find(&member.sku, "sku")?),
-                zone: ZoneId(self.zones.find(&member.area, "area")?),
+                endpoint: EndpointId(self.endpoints.index_or_insert(&member.endpoint)),
+                dest: DestId(self.dests.index_or_insert(&member.belongs_to)),
+                kind: KindId(self.kinds.index_of(&member.sku, "sku")?),
+                zone: ZoneId(self.zones.index_of(&member.area, "area")?),
                 units: member.units,
                 condition: match member.condition {
                     wire::Condition::Running => Condition::Running,
