--- a/crates/cli/src/journal.rs
+++ b/crates/cli/src/journal.rs
@@ -2,7 +2,7 @@
 
 use crate::{Done, Failure};
 use clap::Subcommand;
-use indigomast_sender::wal::{self, Looked, Owed, Report};
+use indigomast_sender::text_journal::{self, JournalContents, OutstandingText, Report};
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 
@@ -31,7 +31,7 @@
             judge(&looked)
         }
         Command::Compact { folder } => {
-            let (before, after) = wal::compact(&folder).map_err(|e| complaint(&folder, &e))?;
+            let (before, after) = text_journal::compact(&folder).map_err(|e| complaint(&folder, &e))?;
             println!("{before} bytes before, {after} after");
             Ok(())
         }
@@ -42,12 +42,12 @@
     format!("{}: {e}", folder.display())
 }
 
-fn look(folder: &Path) -> Result<Looked, Failure> {
-    Ok(wal::look(folder).map_err(|e| complaint(folder, &e))?)
+fn look(folder: &Path) -> Result<JournalContents, Failure> {
+    Ok(text_journal::read_contents(folder).map_err(|e| complaint(folder, &e))?)
 }
 
 /// Damage is told on standard error, place by place.
-fn judge(looked: &Looked) -> Done {
+fn judge(looked: &JournalContents) -> Done {
     let recovered = &looked.recovered;
     if let Some(torn) = recovered.torn {
         eprintln!(
@@ -55,7 +55,7 @@
             torn.segment, torn.bytes
         );
     }
-    let mut sound = looked.unread == 0 && !recovered.manifest_lost;
+    let mut sound = looked.unreadable == 0 && !recovered.manifest_lost;
     for damage in &recovered.damage {
         sound = false;
         match damage.bytes {
@@ -69,25 +69,25 @@
     if recovered.manifest_lost {
         eprintln!("manifest: can't be read");
     }
-    if looked.unread > 0 {
-        eprintln!("{} sound records can't be read by this program", looked.unread);
+    if looked.unreadable > 0 {
+        eprintln!("{} sound records can't be read by this program", looked.unreadable);
     }
     if sound { Ok(()) } else { Err(Failure::Damaged) }
 }
 
-fn summary(looked: &Looked) -> String {
-    let Looked { recovered, owed, used, held, .. } = looked;
-    let reports = owed.values().filter(|owed| owed.report.is_some()).count();
+fn summary(looked: &JournalContents) -> String {
+    let JournalContents { recovered, outstanding, used_bytes, live_bytes, .. } = looked;
+    let reports = outstanding.values().filter(|owed| owed.report.is_some()).count();
     format!(
-        "{} texts owed, {reports} of them only a report; {} records in {} segments, {used} bytes, {held} of them live; {} suspects",
-        owed.len(),
+        "{} texts owed, {reports} of them only a report; {} records in {} segments, {used_bytes} bytes, {live_bytes} of them live; {} suspects",
+        outstanding.len(),
         recovered.records,
         recovered.segments,
         recovered.suspects.len()
     )
 }
 
-fn state(owed: &Owed) -> &'static str {
+fn state(owed: &OutstandingText) -> &'static str {
     match owed.report {
         Some(Report::Nacked { .. }) => "nacked",
         Some(Report::Undeliverable) => "undeliverable",
@@ -102,7 +102,7 @@
     let is_suspect = |text: &usize| looked.recovered.suspects.iter().any(|key| key.0 == *text as u64);
     if as_json {
         let texts: Vec<Value> = looked
-            .owed
+            .outstanding
             .iter()
             .map(|(text, owed)| {
                 json!({"text": text, "id": owed.info.id, "product": owed.info.product, "dest": owed.info.dest,
@@ -111,13 +111,13 @@
                     "suspect": is_suspect(text)})
             })
             .collect();
-        println!("{}", json!({"texts": texts, "used": looked.used, "live": looked.held}));
+        println!("{}", json!({"texts": texts, "used": looked.used_bytes, "live": looked.live_bytes}));
     } else {
         println!(
             "{:>10} {:<24} {:<12} {:>6} {:>7} {:<13} {:>15} {:>7}",
             "text", "id", "product", "dest", "submits", "state", "until (ms)", "bytes"
         );
-        for (text, owed) in &looked.owed {
+        for (text, owed) in &looked.outstanding {
             println!(
                 "{text:>10} {:<24} {:<12} {:>6} {:>7} {:<13} {:>15.0} {:>7}{}",
                 owed.info.id,
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -318,12 +318,12 @@
 #[test]
 fn a_journal_is_looked_at_verified_and_compacted() {
     use indigomast_sender::limits::{Grant, Limits};
-    use indigomast_sender::wal::{Report, TextInfo, Wal};
+    use indigomast_sender::text_journal::{Report, TextInfo, TextJournal};
     let folder = folder("journal");
     let state = folder.display().to_string();
     let limits = Limits::of(Grant::new(48, 384, 3.0));
     let now = indigomast::time::Moment::from_millis(1e12);
-    let mut wal = Wal::open(&folder, &limits, now).expect("opens");
+    let mut journal = TextJournal::open(&folder, &limits, now).expect("opens");
     for (at, id) in ["unsent", "doubt", "never", "told", "over"].into_iter().enumerate() {
         let info = TextInfo {
             id: id.into(),
@@ -333,20 +333,20 @@
             dest: 7,
             until_ms: 1e12,
         };
-        assert_eq!(wal.take(info, b"secret body"[..].into(), now), Some(at));
+        assert_eq!(journal.accept(info, b"secret body"[..].into(), now), Some(at));
     }
-    wal.submitted(1, now, "a");
-    wal.submitted(2, now, "a");
-    wal.never_ran(2, 0);
-    wal.ended(3, Some(Report::Undeliverable));
-    wal.ended(4, None);
-    wal.flush().expect("written");
+    journal.record_submit(1, now, "a");
+    journal.record_submit(2, now, "a");
+    journal.record_never_ran(2, 0);
+    journal.record_end(3, Some(Report::Undeliverable));
+    journal.record_end(4, None);
+    journal.flush().expect("written");
     for command in ["inspect", "verify", "compact"] {
         let output = run(&["journal", command, &state]);
         assert_eq!(output.status.code(), Some(1), "{}", said(&output));
         assert!(said(&output).contains("another process uses this folder"), "{}", said(&output));
     }
-    drop(wal);
+    drop(journal);
     // A process that another test was just starting holds a copy of the lock until it becomes its program.
     let by = Instant::now() + Duration::from_secs(20);
     while said(&run(&["journal", "inspect", &state])).contains("another process uses this folder") {
--- a/crates/config/src/ends.rs
+++ b/crates/config/src/ends.rs
@@ -4,7 +4,7 @@
 //! told twice, after an answer that was lost.
 
 use indigomast_sender::notices::{Answer, Notice, Post, Reporter};
-use indigomast_sender::wal::Report;
+use indigomast_sender::text_journal::Report;
 use serde_json::json;
 use std::fs::OpenOptions;
 use std::io::Write;
--- a/crates/scale/src/roles/owed.rs
+++ b/crates/scale/src/roles/owed.rs
@@ -11,7 +11,7 @@
 use indigomast_journal::{Simulated, Store};
 use indigomast_sender::ids::Ids;
 use indigomast_sender::limits::{Grant, Limits};
-use indigomast_sender::wal::{TextInfo, Wal};
+use indigomast_sender::text_journal::{TextInfo, TextJournal};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -50,16 +50,16 @@
         let journal = indigomast_journal::Settings::within(1 << 40, limits.journal.longest);
         let limits = Limits { journal, ..limits };
 
-        let mut wal =
-            Wal::on(Sink::default(), &limits, Moment::from_millis(0.0)).map_err(|e| e.to_string())?;
+        let mut journal = TextJournal::with_store(Sink::default(), &limits, Moment::from_millis(0.0))
+            .map_err(|e| e.to_string())?;
         let empty = meter.mark();
-        let texts = put(&mut wal, size)?;
+        let texts = put(&mut journal, size)?;
         let (wal_bytes, wal_micros) = (meter.bytes_since(empty), meter.micros_since(empty));
 
         let before = meter.mark();
         let mut ids = Ids::default();
-        for (text, owed) in wal.owed() {
-            ids.put(owed.info.id.clone(), TextId(*text), owed.info.form(&owed.body), true);
+        for (text, owed) in journal.outstanding() {
+            ids.put(owed.info.id.clone(), TextId(*text), owed.info.fingerprint(&owed.body), true);
         }
         let id_bytes = meter.bytes_since(before);
 
@@ -85,39 +85,40 @@
                 return Err(format!("only {delivered} of {size} were delivered"));
             }
             for one in &out {
-                wal.submitted(one.text.0, hollow.now, "zone-0");
+                journal.record_submit(one.text.0, hollow.now, "zone-0");
             }
-            wal.flush().map_err(|e| e.to_string())?;
+            journal.flush().map_err(|e| e.to_string())?;
             hollow.passes(LATENCY);
             for one in &out {
-                if let Some(owed) = wal.owed().get(&one.text.0) {
+                if let Some(owed) = journal.outstanding().get(&one.text.0) {
                     ids.over(&owed.info.id);
                 }
-                wal.ended(one.text.0, None);
+                journal.record_end(one.text.0, None);
                 numbers.remove(&one.text);
             }
             delivered += out.len();
             let ends = out.into_iter().map(|one| outcome(one, Verdict::Delivered, LATENCY));
             actions = hollow.step(ends.collect());
-            wal.flush().map_err(|e| e.to_string())?;
+            journal.flush().map_err(|e| e.to_string())?;
         }
         let drained = meter.micros_since(start) / size as f64;
-        let sink = wal.into_store();
+        let sink = journal.into_store();
         let written = sink.written;
         drop((hollow, ids, sink, numbers, actions));
 
         // The next life reads it all again.
-        let mut wal =
-            Wal::on(Simulated::new(), &limits, Moment::from_millis(0.0)).map_err(|e| e.to_string())?;
-        put(&mut wal, size)?;
-        let store = wal.into_store();
+        let mut journal = TextJournal::with_store(Simulated::new(), &limits, Moment::from_millis(0.0))
+            .map_err(|e| e.to_string())?;
+        put(&mut journal, size)?;
+        let store = journal.into_store();
         let disk = store.held();
         let store = store.after_kill();
         let start = meter.mark();
-        let wal = Wal::on(store, &limits, Moment::from_millis(0.0)).map_err(|e| e.to_string())?;
-        let found = wal.owed().len();
+        let journal =
+            TextJournal::with_store(store, &limits, Moment::from_millis(0.0)).map_err(|e| e.to_string())?;
+        let found = journal.outstanding().len();
         let mut hollow = Hollow::new(info(1, 0).decode(), seed);
-        let left = wal.owed().iter().map(|(text, owed)| {
+        let left = journal.outstanding().iter().map(|(text, owed)| {
             let past = owed.past(|_| ZoneId(0));
             Event::Resumed(handed(*text, hollow.now), past)
         });
@@ -152,7 +153,7 @@
 }
 
 /// Takes so many texts into a journal, some to each write.
-fn put<S: Store>(wal: &mut Wal<S>, count: usize) -> Result<Vec<usize>, String> {
+fn put<S: Store>(journal: &mut TextJournal<S>, count: usize) -> Result<Vec<usize>, String> {
     let mut texts = Vec::with_capacity(count);
     let now = Moment::from_millis(0.0);
     for at in 0..count {
@@ -165,9 +166,9 @@
             until_ms: DAY.as_millis(),
         };
         let body: Arc<[u8]> = vec![b'x'; BODY].into();
-        texts.push(wal.take(info, body, now).ok_or_else(|| format!("no room for text {at}"))?);
+        texts.push(journal.accept(info, body, now).ok_or_else(|| format!("no room for text {at}"))?);
         if texts.len() % BATCH == 0 || texts.len() == count {
-            wal.flush().map_err(|e| e.to_string())?;
+            journal.flush().map_err(|e| e.to_string())?;
         }
     }
     Ok(texts)
--- a/crates/sender/benches/owed.rs
+++ b/crates/sender/benches/owed.rs
@@ -6,7 +6,7 @@
 
 use indigomast::time::Moment;
 use indigomast_sender::limits::{Grant, Limits};
-use indigomast_sender::wal::{TextInfo, Wal};
+use indigomast_sender::text_journal::{TextInfo, TextJournal};
 use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
 use std::time::Instant;
@@ -55,12 +55,12 @@
 fn measure(texts: usize) {
     let (path, limits, now) = (folder(), limits(texts), Moment::from_millis(1e12));
     let before = resident();
-    let mut wal = Wal::open(&path, &limits, now).expect("opens");
+    let mut journal = TextJournal::open(&path, &limits, now).expect("opens");
     let mut held = VecDeque::new();
     for at in 0..texts {
-        held.push_back(wal.take(info(at), vec![7; 212].into(), now).expect("room"));
+        held.push_back(journal.accept(info(at), vec![7; 212].into(), now).expect("room"));
         if at % 50 == 0 {
-            wal.flush().expect("written");
+            journal.flush().expect("written");
         }
     }
     let memory = resident().saturating_sub(before) / texts as u64;
@@ -68,27 +68,27 @@
     let mut times = Vec::with_capacity(3 * rounds);
     let began = Instant::now();
     for round in 0..rounds {
-        let mut timed = |wal: &mut Wal, work: &mut dyn FnMut(&mut Wal)| {
+        let mut timed = |journal: &mut TextJournal, work: &mut dyn FnMut(&mut TextJournal)| {
             let began = Instant::now();
-            work(wal);
-            wal.flush().expect("written");
+            work(journal);
+            journal.flush().expect("written");
             times.push(began.elapsed().as_secs_f64() * 1e6);
         };
         let text = *held.back().expect("many");
-        timed(&mut wal, &mut |wal| wal.submitted(text, now, "zone-a"));
+        timed(&mut journal, &mut |journal| journal.record_submit(text, now, "zone-a"));
         let oldest = held.pop_front().expect("many");
-        timed(&mut wal, &mut |wal| wal.ended(oldest, None));
-        timed(&mut wal, &mut |wal| {
-            held.push_back(wal.take(info(texts + round), vec![7; 212].into(), now).expect("room"));
+        timed(&mut journal, &mut |journal| journal.record_end(oldest, None));
+        timed(&mut journal, &mut |journal| {
+            held.push_back(journal.accept(info(texts + round), vec![7; 212].into(), now).expect("room"));
         });
     }
     let each = began.elapsed().as_secs_f64() * 1e6 / rounds as f64;
     let disk = used(&path) / texts as u64;
-    drop(wal);
+    drop(journal);
     let began = Instant::now();
-    let wal = Wal::open(&path, &limits, now).expect("opens");
+    let journal = TextJournal::open(&path, &limits, now).expect("opens");
     let recovery = began.elapsed().as_secs_f64() * 1e3;
-    assert_eq!(wal.owed().len(), texts);
+    assert_eq!(journal.outstanding().len(), texts);
     times.sort_by(f64::total_cmp);
     let (p99, longest) = (times[times.len() * 99 / 100], times[times.len() - 1]);
     println!("{texts:>9} {each:>10.1} {p99:>8.1} {longest:>11.1} {recovery:>12.1} {disk:>10} {memory:>10}");
--- a/crates/sender/src/decider.rs
+++ b/crates/sender/src/decider.rs
@@ -17,7 +17,7 @@
 use crate::peer::{self, Peer, Trunk};
 use crate::places::Places;
 use crate::terms::{self, Table};
-use crate::wal::{self, Kept, Report, TextInfo, Wal};
+use crate::text_journal::{self, AuxiliaryRecord, Report, TextInfo, TextJournal};
 use crate::{log, log_account, log_decision, log_request, log_state, threads};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use indigomast::api::*;
@@ -95,25 +95,30 @@
 
 /// Brings the terms that the journal knows and those of the settings together, before anything is taken on under them.
 /// Terms that nothing at hand has any more are forgotten.
-pub fn settle(wal: &mut Wal, site: &mut Site, figures: &Figures) -> Table {
-    let known = |wal: &Wal| {
-        let rows = wal.kept().filter_map(|kept| match kept {
-            Kept::Terms { reference, terms } => Some((reference.clone(), terms.clone())),
-            Kept::Out { .. } => None,
+pub fn settle(journal: &mut TextJournal, site: &mut Site, figures: &Figures) -> Table {
+    let known = |journal: &TextJournal| {
+        let rows = journal.auxiliary_records().filter_map(|kept| match kept {
+            AuxiliaryRecord::Terms { reference, terms } => Some((reference.clone(), terms.clone())),
+            AuxiliaryRecord::Out { .. } => None,
         });
         rows.collect::<Vec<_>>()
     };
-    let mut all = Table::new(known(wal));
+    let mut all = Table::new(known(journal));
     let in_force: BTreeSet<usize> = all.take(&site.info).into_iter().map(|product| product.0).collect();
-    let owed: BTreeSet<String> = wal.owed().values().map(|owed| owed.info.product.clone()).collect();
+    let owed: BTreeSet<String> =
+        journal.outstanding().values().map(|owed| owed.info.product.clone()).collect();
     let wanted = |reference: &str| {
         owed.contains(reference) || all.find(reference).is_some_and(|product| in_force.contains(&product.0))
     };
-    wal.drop_kept(|kept| matches!(kept, Kept::Terms { reference, .. } if !wanted(reference)));
-    let mut table = Table::new(known(wal));
+    journal.remove_auxiliary(
+        |kept| matches!(kept, AuxiliaryRecord::Terms { reference, .. } if !wanted(reference)),
+    );
+    let mut table = Table::new(known(journal));
     let products = table.take(&site.info);
     for (reference, terms) in table.rows() {
-        if !wal.keep(Kept::Terms { reference: reference.clone(), terms: terms.clone() }) {
+        if !journal
+            .add_auxiliary(AuxiliaryRecord::Terms { reference: reference.clone(), terms: terms.clone() })
+        {
             log!("the journal has no room for what {reference} stands for");
         }
     }
@@ -146,7 +151,7 @@
     pub trunk: Arc<Trunk>,
     pub list: Sender<list::Ask>,
     pub notices: Sender<Notice>,
-    pub wal: Wal,
+    pub journal: TextJournal,
     pub seed: u64,
     pub known: Listing,
     /// What the process before left, if it left in order.
@@ -177,7 +182,7 @@
     trunk: Arc<Trunk>,
     list: Sender<list::Ask>,
     notices: Sender<Notice>,
-    wal: Wal,
+    journal: TextJournal,
     rules: Rules,
     texts_per_call: Vec<usize>,
     places: Places,
@@ -258,7 +263,7 @@
             trunk: self.trunk,
             list: self.list,
             notices: self.notices,
-            wal: self.wal,
+            journal: self.journal,
             rules,
             texts_per_call,
             places,
@@ -288,7 +293,7 @@
         if left {
             // The lock goes with the process, not before: the next owner may submit what is still out here, and that is
             // over only once this process's connections are.
-            std::mem::forget(desk.wal);
+            std::mem::forget(desk.journal);
         }
     }
 }
@@ -362,7 +367,7 @@
                 Err(ErrorKind::StorageFull.into())
             };
             let Err(e) = written else {
-                log!("another process takes over; {} texts are owed", self.wal.owed().len());
+                log!("another process takes over; {} texts are owed", self.journal.outstanding().len());
                 // The end that follows is asked for, as one by a signal is.
                 self.handover.iter().for_each(|own| own.intake.stopping.store(true, Ordering::Relaxed));
                 return true;
@@ -417,7 +422,7 @@
 
     /// Says how the sender stands, for whoever asks for it.
     fn count(&mut self) {
-        self.figures.holds(self.wal.owed().len());
+        self.figures.holds(self.journal.outstanding().len());
         if self.seen.is_none_or(|seen| seen.elapsed() >= self.limits.sight_beat) {
             self.seen = Some(Instant::now());
             let avoided = self.places.listed().filter(|at| self.rules.avoids(*at)).count();
@@ -427,7 +432,11 @@
 
     fn done(&self, since: Duration) -> bool {
         let idle = self.out.is_empty() && self.unheard.is_empty();
-        let over = if since < self.limits.stop_submits { idle && self.wal.owed().is_empty() } else { idle };
+        let over = if since < self.limits.stop_submits {
+            idle && self.journal.outstanding().is_empty()
+        } else {
+            idle
+        };
         since >= self.limits.stop_most || (since >= self.limits.stop_least && over)
     }
 
@@ -438,7 +447,7 @@
                 if !self.open(text, Admission::Known) {
                     return;
                 }
-                let Some(owed) = self.wal.owed().get(&text.0) else { return };
+                let Some(owed) = self.journal.outstanding().get(&text.0) else { return };
                 self.counters.taken.add(1);
                 let info = owed.info.clone();
                 let handed = self.handed(text, &info);
@@ -456,7 +465,7 @@
                 if !self.open(text, Admission::Full) {
                     return;
                 }
-                let Some(owed) = self.wal.owed().get(&text.0) else { return };
+                let Some(owed) = self.journal.outstanding().get(&text.0) else { return };
                 self.counters.withdrawn.add(1);
                 let (id, key) = (owed.info.id.clone(), owed.info.key.clone());
                 self.over(text);
@@ -475,11 +484,11 @@
                 );
                 self.log_outcome(&outcome);
                 if outcome.never_ran() {
-                    self.wal.never_ran(outcome.text.0, outcome.submit);
+                    self.journal.record_never_ran(outcome.text.0, outcome.submit);
                 }
                 if outcome.ended || outcome.verdict == Verdict::Delivered {
                     // One given up meanwhile still owes its report, which then does no harm.
-                    if let Some(owed) = self.wal.owed().get(&outcome.text.0)
+                    if let Some(owed) = self.journal.outstanding().get(&outcome.text.0)
                         && owed.report.is_none()
                     {
                         if outcome.verdict == Verdict::Delivered {
@@ -515,14 +524,14 @@
             Word::Reported(texts) => {
                 for text in texts {
                     self.counters.reported.add(1);
-                    let Some(owed) = self.wal.owed().get(&text.0) else { continue };
+                    let Some(owed) = self.journal.outstanding().get(&text.0) else { continue };
                     let (id, key) = (owed.info.id.clone(), owed.info.key.clone());
                     let ends = self.ends_of(&owed.info.product);
                     match owed.report {
                         Some(Report::Undeliverable) => ends.errored.add(1),
                         _ => ends.deferred.add(1),
                     }
-                    self.wal.reported(text.0);
+                    self.journal.record_reported(text.0);
                     self.ids.over(&id);
                     self.pass_gate(text, key.as_deref(), None);
                     if let Some(key) = key {
@@ -554,14 +563,14 @@
             _ = order.reply.try_send(Err(Refusal::UnknownEndpoint));
             return;
         }
-        let kept = Kept::Out { endpoint: order.endpoint.clone() };
+        let kept = AuxiliaryRecord::Out { endpoint: order.endpoint.clone() };
         let late = Instant::now() >= order.by;
-        if late || (order.out && !is_out && !self.wal.keep(kept.clone())) {
+        if late || (order.out && !is_out && !self.journal.add_auxiliary(kept.clone())) {
             _ = order.reply.try_send(Err(Refusal::NotNow));
             return;
         }
         if !order.out {
-            self.wal.drop_kept(|other| *other == kept);
+            self.journal.remove_auxiliary(|other| *other == kept);
         }
         self.maintain(&order.endpoint, order.out);
         if is_out == order.out {
@@ -573,9 +582,9 @@
     }
 
     fn out_by_hand(&self) -> impl Iterator<Item = &str> {
-        self.wal.kept().filter_map(|kept| match kept {
-            Kept::Out { endpoint } => Some(endpoint.as_str()),
-            Kept::Terms { .. } => None,
+        self.journal.auxiliary_records().filter_map(|kept| match kept {
+            AuxiliaryRecord::Out { endpoint } => Some(endpoint.as_str()),
+            AuxiliaryRecord::Terms { .. } => None,
         })
     }
 
@@ -598,11 +607,11 @@
                 log!("{} is {} by hand", order.endpoint, if order.out { "taken out" } else { "given back" });
                 continue;
             }
-            let kept = Kept::Out { endpoint: order.endpoint.clone() };
+            let kept = AuxiliaryRecord::Out { endpoint: order.endpoint.clone() };
             match order.out {
-                true if written => self.wal.drop_kept(|other| *other == kept),
-                true => self.wal.forget_kept(&kept),
-                false => _ = self.wal.keep(kept),
+                true if written => self.journal.remove_auxiliary(|other| *other == kept),
+                true => self.journal.abandon_auxiliary(&kept),
+                false => _ = self.journal.add_auxiliary(kept),
             }
             self.maintain(&order.endpoint, !order.out);
         }
@@ -613,13 +622,17 @@
         let Change { mut site, reply } = change;
         let before = self.table.len();
         let products = self.table.take(&site.info);
-        let rows: Vec<Kept> = self.table.rows()[before..]
+        let rows: Vec<AuxiliaryRecord> = self.table.rows()[before..]
             .iter()
-            .map(|(reference, terms)| Kept::Terms { reference: reference.clone(), terms: terms.clone() })
+            .map(|(reference, terms)| AuxiliaryRecord::Terms {
+                reference: reference.clone(),
+                terms: terms.clone(),
+            })
             .collect();
-        let kept = self.table.len() <= self.limits.terms && rows.iter().all(|row| self.wal.keep(row.clone()));
+        let kept = self.table.len() <= self.limits.terms
+            && rows.iter().all(|row| self.journal.add_auxiliary(row.clone()));
         if !kept || !self.flush() {
-            rows.iter().for_each(|row| self.wal.forget_kept(row));
+            rows.iter().for_each(|row| self.journal.abandon_auxiliary(row));
             self.table.cut_back(before);
             _ = reply.try_send(Err("the journal has no room for other terms".into()));
             return;
@@ -630,7 +643,7 @@
         let settings = Settings { products: self.table.products(), ..site.info.decode() };
         self.texts_per_call = settings.kinds.iter().map(|kind| kind.texts_per_call).collect();
         let longest = site.references.iter().chain(&site.info.localities).map(String::len).max().unwrap_or(0);
-        self.wal.reserve_for(wal::reserve(site.info.ceilings.max_attempts, longest));
+        self.journal.raise_reserve(text_journal::reserve_bytes(site.info.ceilings.max_attempts, longest));
         self.events.push(Event::Settings(settings));
         self.revision = None;
         self.site = Arc::new(site);
@@ -648,8 +661,8 @@
     fn hand_in(&mut self, text: HandIn) {
         let HandIn { mut info, body, proven, came, reply } = text;
         let late = self.stopping.is_some_and(|since| since.elapsed() >= self.limits.stop_submits);
-        let full = self.wal.held() >= self.site.info.ceilings.most_held || late;
-        let form = info.form(&body);
+        let full = self.journal.unfinished() >= self.site.info.ceilings.most_held || late;
+        let form = info.fingerprint(&body);
         if let Some(known) = self.ids.get(&info.id) {
             if known.form != form {
                 self.counters.conflicts.add(1);
@@ -691,10 +704,10 @@
         let (id, key) = (info.id.clone(), info.key.clone());
         let dest = info.dest;
         let why = if late { "stopping" } else { "full" };
-        let taken = if full { None } else { self.wal.take(info, body, now) };
+        let taken = if full { None } else { self.journal.accept(info, body, now) };
         let Some(text) = taken.map(TextId) else {
             self.counters.turned_away.add(1);
-            log_account!(dest, held = self.wal.held(), why; "turned-away");
+            log_account!(dest, held = self.journal.unfinished(), why; "turned-away");
             log_request!(id, dest, reason = why; "refused");
             _ = reply.try_send(Admission::Full);
             return;
@@ -710,7 +723,7 @@
 
     /// Takes back a text whose client has not been answered yet, as if it had not come; whether that could be done.
     fn undo(&mut self, text: TextId) -> bool {
-        let Some(owed) = self.wal.owed().get(&text.0) else { return false };
+        let Some(owed) = self.journal.outstanding().get(&text.0) else { return false };
         let (id, key) = (owed.info.id.clone(), owed.info.key.clone());
         self.replies.retain(|(other, reply)| *other != text || reply.try_send(Admission::Other).is_err());
         self.open(text, Admission::Other);
@@ -756,30 +769,31 @@
 
     /// Nothing more is owed for a text, nor has a report to go.
     fn over(&mut self, text: TextId) {
-        if let Some(owed) = self.wal.owed().get(&text.0) {
+        if let Some(owed) = self.journal.outstanding().get(&text.0) {
             self.ids.over(&owed.info.id);
             if let Some(key) = &owed.info.key {
                 self.keys.release(key);
             }
-            self.wal.ended(text.0, None);
+            self.journal.record_end(text.0, None);
         }
     }
 
     fn resume(&mut self) {
-        let left: Vec<_> = self.wal.owed().iter().map(|(text, owed)| (TextId(*text), owed.clone())).collect();
+        let left: Vec<_> =
+            self.journal.outstanding().iter().map(|(text, owed)| (TextId(*text), owed.clone())).collect();
         for (text, owed) in left {
             let info = &owed.info;
             if self.table.find(&info.product).is_none() {
                 log!("{} is of a product that is no more; it is given up", info.id);
-                self.wal.ended(text.0, Some(Report::Undeliverable));
+                self.journal.record_end(text.0, Some(Report::Undeliverable));
             }
             self.counters.resumed.add(1);
-            self.ids.put(info.id.clone(), text, info.form(&owed.body), true);
+            self.ids.put(info.id.clone(), text, info.fingerprint(&owed.body), true);
             if let Some(key) = &info.key {
                 self.keys.place(key);
                 self.gates.entry(key.clone()).or_default().push_back((text, Gate::Shut));
             }
-            match self.wal.owed().get(&text.0).and_then(|owed| owed.report) {
+            match self.journal.outstanding().get(&text.0).and_then(|owed| owed.report) {
                 Some(report) => {
                     self.notes.push(Notice { text, id: info.id.clone(), report });
                     // Those behind it in its key wait for the report to be heard where they can be ended in time.
@@ -935,7 +949,7 @@
         now: Moment,
         (time_out, leave_by): (Span, Moment),
     ) -> Option<Part> {
-        let owed = self.wal.owed().get(&text.0)?;
+        let owed = self.journal.outstanding().get(&text.0)?;
         let part = Part {
             text,
             submit: owed.submits(),
@@ -948,7 +962,7 @@
         let place = self.places.get(endpoint)?;
         place.out += 1;
         let zone = self.site.zones.name(place.zone.0);
-        self.wal.submitted(text.0, now, zone);
+        self.journal.record_submit(text.0, now, zone);
         self.out.insert((text, part.submit), endpoint);
         self.counters.submitted.add(1);
         log_account!(text = text.0, submit = part.submit, endpoint = endpoint.0; "submit");
@@ -958,14 +972,14 @@
     }
 
     fn log_outcome(&mut self, outcome: &Outcome) {
-        let Some(owed) = self.wal.owed().get(&outcome.text.0) else { return };
+        let Some(owed) = self.journal.outstanding().get(&outcome.text.0) else { return };
         let (id, submit, ms) = (&owed.info.id, outcome.submit, outcome.latency.as_millis());
         let endpoint = self.places.get(outcome.endpoint).map(|place| place.name.as_str());
         log_request!(id, submit, endpoint:?, reason:? = outcome.verdict, in_doubt = outcome.in_doubt, ms; "call ended");
     }
 
     fn give_up(&mut self, text: TextId, report: Report) {
-        let Some(owed) = self.wal.owed().get(&text.0) else { return };
+        let Some(owed) = self.journal.outstanding().get(&text.0) else { return };
         let id = owed.info.id.clone();
         let (dest, submits) = (owed.info.dest, owed.submits());
         let left = Moment::from_millis(owed.info.until_ms).since(self.clock.now()).as_millis();
@@ -984,15 +998,15 @@
                 log_decision!(text = id, dest, submits, reason; "undeliverable");
             }
         }
-        self.wal.ended(text.0, Some(report));
+        self.journal.record_end(text.0, Some(report));
         self.notes.push(Notice { text, id, report });
     }
 
     /// Writes what was decided, then lets it be known: answers to clients and reports.
     fn flush(&mut self) -> bool {
-        let compactions = self.wal.compactions;
-        let flushed = self.wal.flush();
-        self.counters.compactions.add(self.wal.compactions - compactions);
+        let compactions = self.journal.compactions;
+        let flushed = self.journal.flush();
+        self.counters.compactions.add(self.journal.compactions - compactions);
         if let Err(e) = &flushed {
             log!("the log can't be written: {e}");
         }
@@ -1003,13 +1017,14 @@
                 }
                 continue;
             }
-            let Some(owed) = self.wal.owed().get(&text.0) else { continue };
+            let Some(owed) = self.journal.outstanding().get(&text.0) else { continue };
             let key = owed.info.key.clone();
             self.ids.remove(&owed.info.id);
-            let answer = if self.wal.may_be_found(text.0) { Admission::Unsure } else { Admission::Full };
+            let answer =
+                if self.journal.may_be_recovered(text.0) { Admission::Unsure } else { Admission::Full };
             self.open(text, answer);
             key.iter().for_each(|key| self.keys.release(key));
-            self.wal.forget(text.0);
+            self.journal.abandon(text.0);
             self.pass_gate(text, key.as_deref(), None);
             self.counters.turned_away.add(1);
             _ = reply.try_send(answer);
@@ -1028,7 +1043,7 @@
         }
         let now = self.clock.now();
         let may_go = |notice: &mut Notice| {
-            let owed = self.wal.owed().get(&notice.text.0);
+            let owed = self.journal.outstanding().get(&notice.text.0);
             written || owed.is_none_or(|owed| now >= Moment::from_millis(owed.info.until_ms))
         };
         for notice in self.notes.extract_if(.., may_go) {
@@ -1076,7 +1091,7 @@
     fn not_sent(&mut self, endpoint: EndpointId, call: Call) {
         for part in call.into_parts() {
             self.came_back(part.text, part.submit);
-            self.wal.never_ran(part.text.0, part.submit);
+            self.journal.record_never_ran(part.text.0, part.submit);
             self.counters.not_sent.add(1);
             self.events.push(Event::Outcome(Outcome {
                 text: part.text,
--- a/crates/sender/src/intake.rs
+++ b/crates/sender/src/intake.rs
@@ -10,7 +10,7 @@
 use crate::link::is_shortage;
 use crate::reactor::{self, Reactor, Session};
 use crate::ring::Ring;
-use crate::wal::TextInfo;
+use crate::text_journal::TextInfo;
 use crate::{Mailbox, log, threads};
 use crossbeam_channel::{Sender, bounded};
 use indigomast::time::{Moment, Span};
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -34,10 +34,10 @@
 pub mod reactor;
 pub mod ring;
 pub mod terms;
+pub mod text_journal;
 pub mod texts_log;
 pub mod threads;
 pub mod versions;
-pub mod wal;
 pub mod whole_file;
 
 use ::log::LevelFilter;
@@ -235,9 +235,9 @@
             None => None,
         };
         let complain = |e: io::Error| format!("ROUTER_STATE: {}: {e}", state.display());
-        let (shared, mut wal) = match &passed {
+        let (shared, mut journal) = match &passed {
             Some(_) => (true, succeed(&state, &limits, clock, &ready, told)?),
-            None => (false, wal::Wal::open(&state, &limits, clock.now()).map_err(complain)?),
+            None => (false, text_journal::TextJournal::open(&state, &limits, clock.now()).map_err(complain)?),
         };
         let handover_state = handover::HandoverState::take(&state).filter(|handover_state| {
             let same = |names: &indigomast_site::Names<String>, left: &[String]| {
@@ -252,7 +252,7 @@
         // The standard library asks for 128; asked again, the kernel takes the new length over.
         rustix::net::listen(&listener, limits.backlog).map_err(|e| format!("listen: {listen}: {e}"))?;
         let address = listener.local_addr().map_err(|e| format!("listen: {e}"))?;
-        let table = decider::settle(&mut wal, &mut site, &figures);
+        let table = decider::settle(&mut journal, &mut site, &figures);
         let (limits, in_force) = (Arc::new(limits), Arc::new(InForce::new(site)));
         let (list, asks) = bounded(limits.mailbox);
         let (notices, inbox) = bounded(limits.texts);
@@ -335,7 +335,7 @@
             trunk: Arc::new(trunk),
             list,
             notices,
-            wal,
+            journal,
             seed,
             known,
             handover_state,
@@ -407,12 +407,12 @@
     clock: Clock,
     ready: &AtomicBool,
     told: &mut dyn FnMut() -> bool,
-) -> Result<wal::Wal, String> {
+) -> Result<text_journal::TextJournal, String> {
     let complain = |e: io::Error| format!("ROUTER_STATE: {}: {e}", state.display());
     let at_once = Limits { lock_wait: Duration::ZERO, ..limits.clone() };
     let (mut machine, mut asking) = (Successor::new(limits.handover, clock.now()), None);
     loop {
-        let owned = match wal::Wal::open(state, &at_once, clock.now()) {
+        let owned = match text_journal::TextJournal::open(state, &at_once, clock.now()) {
             Err(e) if e.kind() == ErrorKind::ResourceBusy => None,
             opened => Some(opened.map_err(complain)?),
         };
@@ -420,8 +420,8 @@
             asking = handover::Asking::begin(state).map_err(complain)?;
         }
         let step = machine.step(clock.now(), owned.is_some());
-        if let (Some(Move::Own), Some(wal)) = (step, owned) {
-            return Ok(wal);
+        if let (Some(Move::Own), Some(journal)) = (step, owned) {
+            return Ok(journal);
         }
         if step == Some(Move::StandBy) {
             // Before it is said: whoever reads it asks.
--- a/crates/sender/src/limits.rs
+++ b/crates/sender/src/limits.rs
@@ -142,7 +142,7 @@
     /// The journal's files, and what the texts at hand may take of them and of the memory.
     pub journal: indigomast_journal::Settings,
     pub log_texts: u64,
-    /// Kept free in the journal for what is still to be written of a text.
+    /// AuxiliaryRecord free in the journal for what is still to be written of a text.
     pub log_reserve: u64,
     /// How long a start waits for the process before to let go of the journal.
     pub lock_wait: Duration,
@@ -253,13 +253,14 @@
         let disk = (grant.disk_mb.clamp(0.0, 1e9) * 1e6) as u64;
         let name = 128;
         let (submits, longest_name) = (grant.submits.max(1), grant.longest_name);
-        let log_reserve = crate::wal::reserve(submits, longest_name);
+        let log_reserve = crate::text_journal::reserve_bytes(submits, longest_name);
         // The rest is for the lock, the manifests, and what the platform counts of each file beyond its end.
         // All of it is read at a start, so there is no more than twice what texts may take: room that a large disk would have
         // beside that saves a little moving of texts, and costs every restart.
         let files = (disk / 16 * 15).min(memory / 2);
         // A small disk has room for short texts only.
-        let beside = crate::wal::longest_payload(0, name, longest_name, longest_name) + log_reserve as usize;
+        let beside =
+            crate::text_journal::longest_payload(0, name, longest_name, longest_name) + log_reserve as usize;
         let body =
             indigomast_journal::Settings::longest_within(files).saturating_sub(beside).min(64 << 10) as u64;
         let journal = indigomast_journal::Settings::within(files, beside + body as usize);
--- a/crates/sender/src/notices.rs
+++ b/crates/sender/src/notices.rs
@@ -5,7 +5,7 @@
 use crate::limits::Limits;
 use crate::link::Link;
 use crate::platform::Platform;
-use crate::wal::Report;
+use crate::text_journal::Report;
 use crate::{Mailbox, log};
 use crossbeam_channel::Receiver;
 use indigomast::api::TextId;
--- a/crates/sender/src/wal.rs
+++ b/crates/sender/src/text_journal.rs
@@ -51,7 +51,7 @@
 
 impl TextInfo {
     /// A checksum of what a receiver is sent of a text, and of what its order hangs on.
-    pub fn form(&self, body: &[u8]) -> u32 {
+    pub fn fingerprint(&self, body: &[u8]) -> u32 {
         let mut sum = crc32fast::Hasher::new();
         // Its terms may have changed between two tries of a client.
         let product = crate::terms::name_of(&self.product);
@@ -75,19 +75,19 @@
 }
 
 /// When, and in which zone, a submit was sent.
-pub(crate) type Whence = (f64, String);
+pub(crate) type SubmitOrigin = (f64, String);
 
 /// What the next life has to know of a text's submits. It takes the same room for one as for many.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Sent {
+pub(crate) struct SubmitHistory {
     pub submits: usize,
     /// The first submit before the last that may have run.
-    pub doubt: Option<Whence>,
+    pub doubt: Option<SubmitOrigin>,
     /// The last submit, unless it is known that it never ran.
-    pub last: Option<Whence>,
+    pub last: Option<SubmitOrigin>,
 }
 
-impl Sent {
+impl SubmitHistory {
     /// The submit with this number, counted from 0; heard twice it counts once.
     pub(crate) fn submitted(&mut self, submit: usize, at_ms: f64, zone: String) {
         if submit >= self.submits {
@@ -106,16 +106,16 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Owed {
+pub struct OutstandingText {
     pub info: TextInfo,
     pub body: Arc<[u8]>,
     pub report: Option<Report>,
-    pub(crate) sent: Sent,
+    pub(crate) sent: SubmitHistory,
     pub(crate) taken_ms: f64,
     bytes: u64,
 }
 
-impl Owed {
+impl OutstandingText {
     pub fn submits(&self) -> usize {
         self.sent.submits
     }
@@ -158,7 +158,7 @@
     taken_ms: f64,
     #[serde(borrow)]
     info: StoredInfo<'a>,
-    sent: Sent,
+    sent: SubmitHistory,
     report: Option<Report>,
 }
 
@@ -178,21 +178,21 @@
 
 /// What the journal keeps beside texts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Kept {
+pub enum AuxiliaryRecord {
     /// What a product's name in texts stands for.
     Terms { reference: String, terms: Terms },
     /// Operators took this endpoint out and have not given it back.
     Out { endpoint: String },
 }
 
-impl Kept {
+impl AuxiliaryRecord {
     fn store(&self, mut into: Vec<u8>) -> Vec<u8> {
         into.extend(NO_TEXT);
         postcard::to_extend(self, into).expect("plain data")
     }
 }
 
-fn store(owed: &Owed, into: Vec<u8>) -> Vec<u8> {
+fn store(owed: &OutstandingText, into: Vec<u8>) -> Vec<u8> {
     let TextInfo { id, mark, product, key, dest, until_ms } = &owed.info;
     let stored = Stored {
         taken_ms: owed.taken_ms,
@@ -212,7 +212,7 @@
     payload
 }
 
-fn restore(payload: &[u8]) -> Option<Owed> {
+fn restore(payload: &[u8]) -> Option<OutstandingText> {
     let (Stored { taken_ms, info, sent, report }, body) = postcard::take_from_bytes(payload).ok()?;
     let StoredInfo { id, mark, product, key, dest, until_ms } = info;
     let owned = |part: Option<&str>| part.map(str::to_owned);
@@ -224,14 +224,14 @@
         dest,
         until_ms,
     };
-    Some(Owed { info, body: body.into(), report, sent, taken_ms, bytes: payload.len() as u64 })
+    Some(OutstandingText { info, body: body.into(), report, sent, taken_ms, bytes: payload.len() as u64 })
 }
 
 /// What a journal holds, as it is read.
 #[derive(Default)]
 struct Reading {
-    owed: BTreeMap<usize, Owed>,
-    kept: BTreeMap<usize, Kept>,
+    owed: BTreeMap<usize, OutstandingText>,
+    kept: BTreeMap<usize, AuxiliaryRecord>,
     /// Sound records that say nothing to this program.
     unread: u64,
 }
@@ -266,7 +266,7 @@
     }
 }
 
-fn note(owed: &mut Owed, tag: u8, payload: &[u8]) -> Option<()> {
+fn note(owed: &mut OutstandingText, tag: u8, payload: &[u8]) -> Option<()> {
     match tag {
         SUBMITTED => {
             let (submit, at_ms, zone) = postcard::from_bytes(payload).ok()?;
@@ -283,15 +283,15 @@
 }
 
 /// What a journal that nobody uses holds.
-pub struct Looked {
+pub struct JournalContents {
     pub recovered: Recovered,
-    pub owed: BTreeMap<usize, Owed>,
-    pub kept: Vec<Kept>,
+    pub outstanding: BTreeMap<usize, OutstandingText>,
+    pub auxiliary: Vec<AuxiliaryRecord>,
     /// Sound records that say nothing to this program.
-    pub unread: u64,
+    pub unreadable: u64,
     /// Bytes of all segments, and of what is owed in them.
-    pub used: u64,
-    pub held: u64,
+    pub used_bytes: u64,
+    pub live_bytes: u64,
 }
 
 /// The process before may be a moment behind its own end.
@@ -314,28 +314,35 @@
 }
 
 /// Reads a journal that no process uses, and changes nothing.
-pub fn look(path: &Path) -> io::Result<Looked> {
+pub fn read_contents(path: &Path) -> io::Result<JournalContents> {
     let folder = Folder::open_used(&folder_of(path))?;
     let mut reading = Reading::default();
     let (journal, recovered) = Journal::look(folder, usize::MAX, &mut |key, entry| reading.hear(key, entry))?;
-    let Reading { owed, kept, unread } = reading;
-    let kept = kept.into_values().collect();
-    Ok(Looked { recovered, owed, kept, unread, used: journal.used(), held: journal.held() })
+    let Reading { owed: outstanding, kept, unread: unreadable } = reading;
+    let auxiliary = kept.into_values().collect();
+    Ok(JournalContents {
+        recovered,
+        outstanding,
+        auxiliary,
+        unreadable,
+        used_bytes: journal.used(),
+        live_bytes: journal.held(),
+    })
 }
 
 /// Writes what is owed in a journal that no process uses anew, and gives back the rest; the bytes of all segments
 /// before and after. One with damage is left as it is: what is damaged may be wanted yet.
 pub fn compact(path: &Path) -> io::Result<(u64, u64)> {
-    let looked = look(path)?;
-    if !looked.recovered.damage.is_empty() || looked.recovered.manifest_lost || looked.unread > 0 {
+    let looked = read_contents(path)?;
+    if !looked.recovered.damage.is_empty() || looked.recovered.manifest_lost || looked.unreadable > 0 {
         return Err(io::Error::new(ErrorKind::InvalidData, "it is damaged, and is left as it is"));
     }
-    let longest = looked.owed.values().map(|owed| store(owed, Vec::new()).len()).max().unwrap_or(0);
+    let longest = looked.outstanding.values().map(|owed| store(owed, Vec::new()).len()).max().unwrap_or(0);
     let folder = Folder::open_used(&folder_of(path))?;
     let segment = (4 << 20).max(4 * longest as u64);
     let settings = Settings {
         segment,
-        most: (16 * segment).max(4 * looked.used),
+        most: (16 * segment).max(4 * looked.used_bytes),
         longest: segment as usize / 4,
         step: 0,
         durability: indigomast_journal::Durability::Batch,
@@ -347,7 +354,12 @@
     Ok((before, journal.used()))
 }
 
-fn image(owed: &BTreeMap<usize, Owed>, kept: &BTreeMap<usize, Kept>, key: Key, into: &mut Vec<u8>) {
+fn image(
+    owed: &BTreeMap<usize, OutstandingText>,
+    kept: &BTreeMap<usize, AuxiliaryRecord>,
+    key: Key,
+    into: &mut Vec<u8>,
+) {
     if let Some(owed) = owed.get(&(key.0 as usize)) {
         *into = store(owed, std::mem::take(into));
     } else if let Some(kept) = kept.get(&(key.0 as usize)) {
@@ -355,10 +367,10 @@
     }
 }
 
-pub struct Wal<S: Store = Folder> {
-    journal: Journal<S>,
-    owed: BTreeMap<usize, Owed>,
-    kept: BTreeMap<usize, Kept>,
+pub struct TextJournal<S: Store = Folder> {
+    records: Journal<S>,
+    owed: BTreeMap<usize, OutstandingText>,
+    kept: BTreeMap<usize, AuxiliaryRecord>,
     /// What the texts at hand take, or may still take.
     bytes: u64,
     /// Texts that have not ended.
@@ -371,35 +383,36 @@
     pub compactions: usize,
 }
 
-impl Wal {
+impl TextJournal {
     /// Opens the journal, reads what an earlier life left in it, and carries over a log of the format before.
-    pub fn open(folder: &Path, limits: &Limits, now: Moment) -> io::Result<Wal> {
-        let mut wal = Wal::on(take_folder(&folder.join(FOLDER), limits.lock_wait)?, limits, now)?;
+    pub fn open(folder: &Path, limits: &Limits, now: Moment) -> io::Result<TextJournal> {
+        let mut journal =
+            TextJournal::with_store(take_folder(&folder.join(FOLDER), limits.lock_wait)?, limits, now)?;
         if let Some(carried) = texts_log::read(folder)? {
-            let count = wal.carry_over(carried, now)?;
+            let count = journal.carry_over(carried, now)?;
             log!("{count} texts were carried over from a log of the format before");
             texts_log::remove(folder)?;
         }
-        Ok(wal)
+        Ok(journal)
     }
 }
 
-impl<S: Store> Wal<S> {
-    pub fn on(store: S, limits: &Limits, now: Moment) -> io::Result<Wal<S>> {
+impl<S: Store> TextJournal<S> {
+    pub fn with_store(store: S, limits: &Limits, now: Moment) -> io::Result<TextJournal<S>> {
         let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         // Tells this journal from all others, if it is a new one.
         let number = since.as_nanos() as u64 ^ u64::from(std::process::id()) << 40;
         let mut reading = Reading::default();
         let settings = limits.journal.clone();
-        let (journal, recovered) =
+        let (records, recovered) =
             Journal::open(store, settings, number, &mut |key, entry| reading.hear(key, entry))?;
         if reading.unread > 0 {
             // Their checksums hold, so another program wrote them, which may want them yet.
             let what = format!("{} sound records can't be read by this program", reading.unread);
             return Err(io::Error::new(ErrorKind::InvalidData, what));
         }
-        let mut wal = Wal {
-            journal,
+        let mut journal = TextJournal {
+            records,
             owed: reading.owed,
             kept: reading.kept,
             bytes: 0,
@@ -410,16 +423,16 @@
             began: Instant::now(),
             compactions: 0,
         };
-        wal.tell(&recovered);
-        wal.suspect(&recovered, limits.submits);
-        for (text, owed) in &mut wal.owed {
-            owed.bytes = store_length(owed) + wal.reserve;
-            wal.bytes += owed.bytes;
-            wal.held += usize::from(owed.report.is_none());
-            wal.journal.reserve(Key(*text as u64), wal.reserve);
+        journal.tell(&recovered);
+        journal.suspect(&recovered, limits.submits);
+        for (text, owed) in &mut journal.owed {
+            owed.bytes = store_length(owed) + journal.reserve;
+            journal.bytes += owed.bytes;
+            journal.held += usize::from(owed.report.is_none());
+            journal.records.reserve(Key(*text as u64), journal.reserve);
         }
-        wal.set_right(now)?;
-        Ok(wal)
+        journal.set_right(now)?;
+        Ok(journal)
     }
 
     fn tell(&self, recovered: &Recovered) {
@@ -465,7 +478,7 @@
     /// counts as old. One that was set forward looks like a long absence; one that was set back by less than the absence
     /// can't be told from one that was not.
     fn set_right(&mut self, now: Moment) -> io::Result<()> {
-        let newest = self.owed.values().map(Owed::newest_ms).fold(f64::MIN, f64::max);
+        let newest = self.owed.values().map(OutstandingText::newest_ms).fold(f64::MIN, f64::max);
         let ahead = newest - now.as_millis();
         if ahead <= CLOCK_SLACK_MS {
             return Ok(());
@@ -476,7 +489,7 @@
         self.owed.values_mut().for_each(|owed| owed.shift(-ahead));
         // Written anew, so that the life after this one doesn't do it again.
         let (owed, kept) = (&self.owed, &self.kept);
-        self.journal.compact(self.began.elapsed(), &mut |key, into| image(owed, kept, key, into))?;
+        self.records.compact(self.began.elapsed(), &mut |key, into| image(owed, kept, key, into))?;
         Ok(())
     }
 
@@ -492,10 +505,10 @@
                 }
                 // The format before was gone back to in between, and knows more of this text.
                 self.remove(*text);
-                self.journal.close(Key(*text as u64));
+                self.records.close(Key(*text as u64));
             }
             let taken_ms = now.as_millis();
-            let owed = Owed { info, body, report, sent, taken_ms, bytes: 0 };
+            let owed = OutstandingText { info, body, report, sent, taken_ms, bytes: 0 };
             if self.begin(owed).is_none() {
                 return Err(io::Error::new(
                     ErrorKind::StorageFull,
@@ -508,16 +521,16 @@
         Ok(count)
     }
 
-    pub fn owed(&self) -> &BTreeMap<usize, Owed> {
+    pub fn outstanding(&self) -> &BTreeMap<usize, OutstandingText> {
         &self.owed
     }
 
-    pub fn held(&self) -> usize {
+    pub fn unfinished(&self) -> usize {
         self.held
     }
 
     pub fn into_store(self) -> S {
-        self.journal.into_store()
+        self.records.into_store()
     }
 
     fn remove(&mut self, text: usize) {
@@ -527,13 +540,13 @@
         }
     }
 
-    fn begin(&mut self, mut owed: Owed) -> Option<usize> {
+    fn begin(&mut self, mut owed: OutstandingText) -> Option<usize> {
         let payload = store(&owed, Vec::new());
         owed.bytes = payload.len() as u64 + self.reserve;
         if self.bytes + owed.bytes > self.most_texts || self.owed.len() >= self.most_owed {
             return None;
         }
-        let text = self.journal.begin(&payload, self.reserve).ok()?.0 as usize;
+        let text = self.records.begin(&payload, self.reserve).ok()?.0 as usize;
         self.bytes += owed.bytes;
         self.held += usize::from(owed.report.is_none());
         self.owed.insert(text, owed);
@@ -541,18 +554,25 @@
     }
 
     /// Takes a text into the journal, if there is room for it and all that will be written of it.
-    pub fn take(&mut self, info: TextInfo, body: Arc<[u8]>, now: Moment) -> Option<usize> {
+    pub fn accept(&mut self, info: TextInfo, body: Arc<[u8]>, now: Moment) -> Option<usize> {
         let taken_ms = now.as_millis();
-        self.begin(Owed { info, body, report: None, sent: Sent::default(), taken_ms, bytes: 0 })
+        self.begin(OutstandingText {
+            info,
+            body,
+            report: None,
+            sent: SubmitHistory::default(),
+            taken_ms,
+            bytes: 0,
+        })
     }
 
     fn note<T: Serialize>(&mut self, text: usize, tag: u8, said: &T) {
         let payload = postcard::to_extend(said, Vec::new()).expect("plain data");
-        self.journal.note(Key(text as u64), tag, &payload);
+        self.records.note(Key(text as u64), tag, &payload);
     }
 
     /// Notes the next submit of a text.
-    pub fn submitted(&mut self, text: usize, at: Moment, zone: &str) {
+    pub fn record_submit(&mut self, text: usize, at: Moment, zone: &str) {
         let Some(owed) = self.owed.get_mut(&text) else { return };
         let submit = owed.sent.submits;
         owed.sent.submitted(submit, at.as_millis(), zone.to_owned());
@@ -560,7 +580,7 @@
     }
 
     /// A submit that never ran, so that no doubt is left of it.
-    pub fn never_ran(&mut self, text: usize, submit: usize) {
+    pub fn record_never_ran(&mut self, text: usize, submit: usize) {
         if let Some(owed) = self.owed.get_mut(&text) {
             owed.sent.never_ran(submit);
             self.note(text, NEVER_RAN, &submit);
@@ -568,8 +588,8 @@
     }
 
     /// Over, but for the report, if there is one.
-    pub fn ended(&mut self, text: usize, report: Option<Report>) {
-        let Some(report) = report else { return self.reported(text) };
+    pub fn record_end(&mut self, text: usize, report: Option<Report>) {
+        let Some(report) = report else { return self.record_reported(text) };
         let Some(owed) = self.owed.get_mut(&text) else { return };
         self.held -= usize::from(owed.report.replace(report).is_none());
         let spared = std::mem::take(&mut owed.body).len() as u64;
@@ -578,9 +598,9 @@
         self.note(text, ENDED, &report);
     }
 
-    pub fn reported(&mut self, text: usize) {
+    pub fn record_reported(&mut self, text: usize) {
         self.remove(text);
-        self.journal.close(Key(text as u64));
+        self.records.close(Key(text as u64));
     }
 
     /// Brings all that was added to the disk, as surely as was asked for. On an error nothing added since the last
@@ -588,62 +608,62 @@
     pub fn flush(&mut self) -> io::Result<()> {
         let (owed, kept) = (&self.owed, &self.kept);
         let step =
-            self.journal.commit(self.began.elapsed(), &mut |key, into| image(owed, kept, key, into))?;
+            self.records.commit(self.began.elapsed(), &mut |key, into| image(owed, kept, key, into))?;
         self.compactions += step.retired;
         Ok(())
     }
 
-    pub fn kept(&self) -> impl Iterator<Item = &Kept> {
+    pub fn auxiliary_records(&self) -> impl Iterator<Item = &AuxiliaryRecord> {
         self.kept.values()
     }
 
     /// Keeps something beside the texts; whether there is room for it. Not for sure before the next flush.
-    pub fn keep(&mut self, kept: Kept) -> bool {
+    pub fn add_auxiliary(&mut self, kept: AuxiliaryRecord) -> bool {
         if self.kept.values().any(|other| *other == kept) {
             return true;
         }
-        let Ok(key) = self.journal.begin(&kept.store(Vec::new()), 0) else { return false };
+        let Ok(key) = self.records.begin(&kept.store(Vec::new()), 0) else { return false };
         self.kept.insert(key.0 as usize, kept);
         true
     }
 
-    pub fn drop_kept(&mut self, gone: impl Fn(&Kept) -> bool) {
+    pub fn remove_auxiliary(&mut self, gone: impl Fn(&AuxiliaryRecord) -> bool) {
         let gone: Vec<usize> =
             self.kept.iter().filter(|(_, kept)| gone(kept)).map(|(text, _)| *text).collect();
         for text in gone {
             self.kept.remove(&text);
-            self.journal.close(Key(text as u64));
+            self.records.close(Key(text as u64));
         }
     }
 
     /// Something kept that could not be written after all.
-    pub fn forget_kept(&mut self, kept: &Kept) {
+    pub fn abandon_auxiliary(&mut self, kept: &AuxiliaryRecord) {
         let found = self.kept.iter().find(|(_, other)| *other == kept).map(|(text, _)| *text);
         if let Some(text) = found {
             self.kept.remove(&text);
-            self.journal.abandon(Key(text as u64));
+            self.records.abandon(Key(text as u64));
         }
     }
 
     /// From now on texts may be submitted so often.
-    pub fn reserve_for(&mut self, reserve: u64) {
+    pub fn raise_reserve(&mut self, reserve: u64) {
         self.reserve = self.reserve.max(reserve);
     }
 
     /// Whether a next life may find a text though the last flush failed. Its client can't be told then that handing it in
     /// again is harmless.
-    pub fn may_be_found(&self, text: usize) -> bool {
-        self.journal.may_be_found(Key(text as u64))
+    pub fn may_be_recovered(&self, text: usize) -> bool {
+        self.records.may_be_found(Key(text as u64))
     }
 
     /// Forgets a text that could not be written, so that nothing is owed for it.
-    pub fn forget(&mut self, text: usize) {
+    pub fn abandon(&mut self, text: usize) {
         self.remove(text);
-        self.journal.abandon(Key(text as u64));
+        self.records.abandon(Key(text as u64));
     }
 }
 
-fn store_length(owed: &Owed) -> u64 {
+fn store_length(owed: &OutstandingText) -> u64 {
     store(owed, Vec::new()).len() as u64
 }
 
@@ -655,7 +675,7 @@
 }
 
 /// What may be noted of a text with so many submits, in bytes of the journal.
-pub fn reserve(submits: usize, zone: usize) -> u64 {
+pub fn reserve_bytes(submits: usize, zone: usize) -> u64 {
     let head = 24;
     let submitted = head + 3 + 8 + 2 + zone;
     let never_ran = head + 3;
--- a/crates/sender/src/texts_log.rs
+++ b/crates/sender/src/texts_log.rs
@@ -4,7 +4,7 @@
 //! first record that isn't whole was never promised to be readable, and is dropped.
 
 use crate::log;
-use crate::wal::{Report, Sent, TextInfo};
+use crate::text_journal::{Report, SubmitHistory, TextInfo};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::fs;
@@ -22,7 +22,7 @@
     Taken { text: usize, info: TextInfo },
     Submitted { text: usize, at_ms: f64, zone: String },
     NeverRan { text: usize, submit: usize },
-    Sent { text: usize, sent: Sent },
+    Sent { text: usize, sent: SubmitHistory },
     Ended { text: usize, report: Option<Report> },
     Reported { text: usize },
 }
@@ -32,7 +32,7 @@
     pub info: TextInfo,
     pub body: Arc<[u8]>,
     pub report: Option<Report>,
-    pub sent: Sent,
+    pub sent: SubmitHistory,
 }
 
 /// The record at the front and how long it is; `None` where it is torn, or where there is none.
@@ -60,7 +60,8 @@
         at += length;
         match record {
             Record::Taken { text, info } => {
-                let carried = Carried { info, body: body.into(), report: None, sent: Sent::default() };
+                let carried =
+                    Carried { info, body: body.into(), report: None, sent: SubmitHistory::default() };
                 owed.insert(text, carried);
             }
             Record::Submitted { text, at_ms, zone } => {
--- a/crates/sender/tests/sender/edges.rs
+++ b/crates/sender/tests/sender/edges.rs
@@ -13,7 +13,7 @@
 use indigomast_sender::decider::Word;
 use indigomast_sender::intake::{Intake, PendingConnection};
 use indigomast_sender::reactor::Session;
-use indigomast_sender::wal::Wal;
+use indigomast_sender::text_journal::TextJournal;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{ErrorKind, Read, Write};
@@ -68,16 +68,16 @@
                 continue; // Not to be seen: docs/crossings.md.
             }
             let folder = Folder::new();
-            let mut wal = Wal::open(&folder.state(), &limits(), begin).expect("opens");
-            let text = wal.take(info(0), vec![1; 8].into(), begin).expect("room");
-            wal.submitted(text, begin, "a");
-            wal.flush().expect("written");
-            drop(wal);
+            let mut journal = TextJournal::open(&folder.state(), &limits(), begin).expect("opens");
+            let text = journal.accept(info(0), vec![1; 8].into(), begin).expect("room");
+            journal.record_submit(text, begin, "a");
+            journal.flush().expect("written");
+            drop(journal);
             // By the true time and by the clock.
             let mut real = begin + Span::millis(gone);
             let off = Span::millis(back);
-            let wal = Wal::open(&folder.state(), &limits(), real - off).expect("opens");
-            let owed = &wal.owed()[&text];
+            let journal = TextJournal::open(&folder.state(), &limits(), real - off).expect("opens");
+            let owed = &journal.outstanding()[&text];
             let mut rules = Rules::new(settings(window), 1);
             let handed = Handed {
                 text: TextId(text),
--- a/crates/sender/tests/sender/owed.rs
+++ b/crates/sender/tests/sender/owed.rs
@@ -5,7 +5,7 @@
 use indigomast::time::{Moment, Span};
 use indigomast_journal::{Durability, Entry, Fault, Journal, Simulated, Store};
 use indigomast_sender::limits::{Grant, Limits};
-use indigomast_sender::wal::{self, Owed, Report, TextInfo, Wal};
+use indigomast_sender::text_journal::{self, OutstandingText, Report, TextInfo, TextJournal};
 use std::collections::BTreeMap;
 use std::fs;
 use std::io::ErrorKind;
@@ -31,31 +31,31 @@
     }
 }
 
-fn past(owed: &Owed) -> (usize, Option<(Moment, ZoneId)>) {
+fn past(owed: &OutstandingText) -> (usize, Option<(Moment, ZoneId)>) {
     let past = owed.past(|zone| ZoneId(zone.len()));
     (past.submits, past.doubt)
 }
 
 /// Six texts; of each submit whether it never ran.
-fn a_life(wal: &mut Wal) {
+fn a_life(journal: &mut TextJournal) {
     for at in 0..6 {
-        assert_eq!(wal.take(info(at), vec![at as u8; at].into(), now()), Some(at));
+        assert_eq!(journal.accept(info(at), vec![at as u8; at].into(), now()), Some(at));
     }
     for (text, submits) in
         [(1, &[false][..]), (2, &[true, false, true, false]), (3, &[true, true]), (4, &[false])]
     {
         for (submit, never_ran) in submits.iter().enumerate() {
-            wal.submitted(text, now() + Span::millis(submit as i64), "a");
+            journal.record_submit(text, now() + Span::millis(submit as i64), "a");
             if *never_ran {
-                wal.never_ran(text, submit);
+                journal.record_never_ran(text, submit);
             }
         }
     }
-    wal.ended(4, None);
-    wal.ended(5, Some(Report::Nacked { again_ms: Some(2.5) }));
+    journal.record_end(4, None);
+    journal.record_end(5, Some(Report::Nacked { again_ms: Some(2.5) }));
 }
 
-fn check(owed: &BTreeMap<usize, Owed>, held: usize) {
+fn check(owed: &BTreeMap<usize, OutstandingText>, held: usize) {
     let sent = |millis| Some((now() + Span::millis(millis), ZoneId(1)));
     let pasts = [0, 1, 2, 3].map(|text| past(&owed[&text]));
     assert_eq!(pasts, [(0, None), (1, sent(0)), (4, sent(1)), (2, None)]);
@@ -68,10 +68,10 @@
 #[test]
 fn the_journal_tells_the_next_life_what_this_one_did() {
     let folder = Folder::new();
-    let mut wal = Wal::open(&folder.state(), &limits(), now()).expect("opens");
-    a_life(&mut wal);
-    wal.flush().expect("written");
-    drop(wal);
+    let mut journal = TextJournal::open(&folder.state(), &limits(), now()).expect("opens");
+    a_life(&mut journal);
+    journal.flush().expect("written");
+    drop(journal);
     // As it is, with a torn tail, and compacted by the program; each life adds and forgets a text.
     for life in 0..3usize {
         let newest = newest_segment(&folder.state().join("journal"));
@@ -82,17 +82,17 @@
                 fs::write(&newest, bytes).expect("writable");
             }
             2 => {
-                let (before, after) = wal::compact(&folder.state()).expect("sound");
+                let (before, after) = text_journal::compact(&folder.state()).expect("sound");
                 assert!(after < before, "{after} of {before}");
             }
             _ => {}
         }
-        let mut wal = Wal::open(&folder.state(), &limits(), now()).expect("opens");
-        check(wal.owed(), wal.held());
-        assert_eq!(wal.take(info(6), Arc::default(), now()), Some(6 + life), "numbers go on");
-        wal.flush().expect("written");
-        wal.reported(6 + life);
-        wal.flush().expect("written");
+        let mut journal = TextJournal::open(&folder.state(), &limits(), now()).expect("opens");
+        check(journal.outstanding(), journal.unfinished());
+        assert_eq!(journal.accept(info(6), Arc::default(), now()), Some(6 + life), "numbers go on");
+        journal.flush().expect("written");
+        journal.record_reported(6 + life);
+        journal.flush().expect("written");
     }
 }
 
@@ -108,18 +108,18 @@
     for (memory_mb, sockets) in [(32, 256), (48, 384), (192, 1024)] {
         let limits = Limits::of(Grant::new(memory_mb, sockets, 3.0));
         let folder = Folder::new();
-        let mut wal = Wal::open(&folder.state(), &limits, now()).expect("opens");
+        let mut journal = TextJournal::open(&folder.state(), &limits, now()).expect("opens");
         let small = || vec![7; 212].into();
-        let held = (0..).take_while(|at| wal.take(info(*at), small(), now()).is_some()).count();
+        let held = (0..).take_while(|at| journal.accept(info(*at), small(), now()).is_some()).count();
         assert!(held > 1800, "{memory_mb} MB: {held}");
         for text in 0..held {
             let zone = "a-zone-with-a-long-name.";
             (0..6).for_each(|submit| {
-                wal.submitted(text, Moment::from_millis(1e12 + 0.123), zone);
-                wal.never_ran(text, submit);
+                journal.record_submit(text, Moment::from_millis(1e12 + 0.123), zone);
+                journal.record_never_ran(text, submit);
             });
-            wal.ended(text, Some(Report::Nacked { again_ms: Some(1234.567) }));
-            wal.flush().expect("all that may be written of them fits");
+            journal.record_end(text, Some(Report::Nacked { again_ms: Some(1234.567) }));
+            journal.flush().expect("all that may be written of them fits");
             assert!(used(&folder.state()) <= 3_000_000);
         }
         let Limits { clients, accept_queue, links, descriptors, .. } = limits;
@@ -147,26 +147,26 @@
     let folder = Folder::new();
     let limits = Limits::of(Grant::new(192, 1024, 1.5));
     let limits = Limits { texts: 60, ..limits };
-    let mut wal = Wal::open(&folder.state(), &limits, now()).expect("opens");
+    let mut journal = TextJournal::open(&folder.state(), &limits, now()).expect("opens");
     let mut held = Vec::new();
     for round in 0..3000 {
-        match wal.take(info(round), vec![0; round * 37 % 30_000].into(), now()) {
+        match journal.accept(info(round), vec![0; round * 37 % 30_000].into(), now()) {
             Some(text) => held.push(text),
             None => {
                 let text = held.remove(round * 7 % held.len());
-                (0..6).for_each(|_| wal.submitted(text, now(), "a"));
-                wal.ended(text, (round % 2 == 0).then_some(Report::Undeliverable));
-                wal.reported(text);
+                (0..6).for_each(|_| journal.record_submit(text, now(), "a"));
+                journal.record_end(text, (round % 2 == 0).then_some(Report::Undeliverable));
+                journal.record_reported(text);
             }
         }
-        wal.flush().expect("there is room");
+        journal.flush().expect("there is room");
         assert!(used(&folder.state()) <= 1_500_000 && held.len() <= 60, "{} texts", held.len());
     }
-    assert!(wal.compactions > 20, "{}", wal.compactions);
-    drop(wal);
-    let again = Wal::open(&folder.state(), &limits, now()).expect("opens");
+    assert!(journal.compactions > 20, "{}", journal.compactions);
+    drop(journal);
+    let again = TextJournal::open(&folder.state(), &limits, now()).expect("opens");
     held.sort();
-    assert!(again.owed().keys().eq(held.iter()));
+    assert!(again.outstanding().keys().eq(held.iter()));
 }
 
 /// One bit anywhere: what is told of the texts is never less than what was done for them.
@@ -175,24 +175,24 @@
     let small = Limits::of(Grant::new(192, 1024, 3.0));
     let mut store = Simulated::new();
     let limits = Limits { journal: tight(Durability::Batch), ..small };
-    let mut wal = Wal::on(store, &limits, now()).expect("new");
+    let mut journal = TextJournal::with_store(store, &limits, now()).expect("new");
     let mut truth: BTreeMap<usize, usize> = BTreeMap::new();
     for round in 0..40 {
-        let text = wal.take(info(round), vec![1; 30].into(), now()).expect("room");
+        let text = journal.accept(info(round), vec![1; 30].into(), now()).expect("room");
         truth.insert(text, 0);
         for (text, submits) in &mut truth {
             if (text + round).is_multiple_of(3) && *submits < 6 {
-                wal.submitted(*text, now(), "a");
+                journal.record_submit(*text, now(), "a");
                 *submits += 1;
             }
         }
         if round % 2 == 0 {
             let (text, _) = truth.pop_first().expect("some");
-            wal.ended(text, None);
+            journal.record_end(text, None);
         }
-        wal.flush().expect("no fault is set");
+        journal.flush().expect("no fault is set");
     }
-    store = wal.into_store().after_kill();
+    store = journal.into_store().after_kill();
     let names: Vec<String> =
         store.list().expect("lists").into_iter().filter(|n| n.ends_with(".seg")).collect();
     assert!(names.len() >= 3, "{names:?}");
@@ -201,8 +201,8 @@
         for bit in (0..3000 * 8).step_by(101) {
             let mut spoilt = store.clone();
             spoilt.spoil(name, bit);
-            let wal = Wal::on(spoilt, &limits, now()).expect("opens");
-            for (text, owed) in wal.owed() {
+            let journal = TextJournal::with_store(spoilt, &limits, now()).expect("opens");
+            for (text, owed) in journal.outstanding() {
                 let Some(done) = truth.get(text) else {
                     // Over, but its end was lost: nothing of it may go that could do harm twice.
                     assert!(past(owed).1.is_some(), "{name} {bit}: {text} counts as never sent");
@@ -241,17 +241,17 @@
                     _ => vec![store.after_kill()],
                 };
                 for left in left {
-                    let wal = Wal::on(left, &limits, now()).expect("opens");
+                    let journal = TextJournal::with_store(left, &limits, now()).expect("opens");
                     for (text, submits) in &promised {
                         // What the last flush was asked to write may be there or not.
                         let over = !asked.contains_key(text);
-                        let found = wal.owed().get(text);
+                        let found = journal.outstanding().get(text);
                         assert!(over || found.is_some(), "{durability:?} {call}: {text} is lost");
                         let Some(found) = found else { continue };
                         assert!(found.submits() >= *submits, "{durability:?} {call}: {text}");
                         assert!(found.submits() <= 6);
                     }
-                    for text in wal.owed().keys() {
+                    for text in journal.outstanding().keys() {
                         let known = promised.contains_key(text) || asked.contains_key(text);
                         assert!(known, "{durability:?} {call}: {text} is over");
                     }
@@ -274,32 +274,32 @@
 
 /// None where the cut is before the beginning.
 fn play(store: Simulated, limits: &Limits) -> Option<Played> {
-    let mut wal = Wal::on(store, limits, now()).ok()?;
+    let mut journal = TextJournal::with_store(store, limits, now()).ok()?;
     let (mut promised, mut asked) = (Submits::new(), Submits::new());
     for round in 0..60usize {
-        if let Some(text) = wal.take(info(round), vec![1; round * 31 % 300].into(), now()) {
+        if let Some(text) = journal.accept(info(round), vec![1; round * 31 % 300].into(), now()) {
             asked.insert(text, 0);
         }
         for (text, submits) in &mut asked {
             if (text * 5 + round).is_multiple_of(4) && *submits < 6 {
-                wal.submitted(*text, now(), "zone");
+                journal.record_submit(*text, now(), "zone");
                 *submits += 1;
             }
         }
         if asked.len() > 8 {
             let over = *asked.keys().nth(round * 3 % 8).expect("eight");
-            wal.ended(over, (round % 3 == 0).then_some(Report::Undeliverable));
+            journal.record_end(over, (round % 3 == 0).then_some(Report::Undeliverable));
             if round % 3 == 0 {
-                wal.reported(over);
+                journal.record_reported(over);
             }
             asked.remove(&over);
         }
-        if wal.flush().is_err() {
-            return Some(Played { store: wal.into_store(), promised, asked, cut: true });
+        if journal.flush().is_err() {
+            return Some(Played { store: journal.into_store(), promised, asked, cut: true });
         }
         promised = asked.clone();
     }
-    Some(Played { store: wal.into_store(), promised, asked, cut: false })
+    Some(Played { store: journal.into_store(), promised, asked, cut: false })
 }
 
 /// The disk fills under texts that come: each is either promised and found again, or turned away and not.
@@ -307,31 +307,32 @@
 fn a_disk_that_fills_from_outside_loses_nothing_and_is_gone_on_with() {
     for durability in [Durability::Process, Durability::Batch] {
         let limits = Limits { journal: tight(durability), ..limits() };
-        let mut wal = Wal::on(Simulated::with_room(9_000), &limits, now()).expect("opens");
+        let mut journal =
+            TextJournal::with_store(Simulated::with_room(9_000), &limits, now()).expect("opens");
         let (mut promised, mut refused) = (Submits::new(), 0);
         for round in 0..400 {
-            let taken = wal.take(info(round), vec![2; 200].into(), now());
+            let taken = journal.accept(info(round), vec![2; 200].into(), now());
             let moved = promised.keys().next().copied().filter(|_| promised.len() > 3);
             if let Some(text) = moved {
                 if round % 7 == 0 {
-                    wal.ended(text, None);
+                    journal.record_end(text, None);
                 } else if promised[&text] < 6 {
-                    wal.submitted(text, now(), "a");
+                    journal.record_submit(text, now(), "a");
                 }
             }
-            match wal.flush() {
+            match journal.flush() {
                 Ok(()) => promised.extend(taken.map(|text| (text, 0))),
                 Err(e) => {
                     assert_eq!(e.kind(), ErrorKind::StorageFull, "{e}");
                     refused += 1;
-                    taken.into_iter().for_each(|text| wal.forget(text));
+                    taken.into_iter().for_each(|text| journal.abandon(text));
                 }
             }
-            promised.retain(|text, _| wal.owed().contains_key(text));
-            promised.iter_mut().for_each(|(text, submits)| *submits = wal.owed()[text].submits());
+            promised.retain(|text, _| journal.outstanding().contains_key(text));
+            promised.iter_mut().for_each(|(text, submits)| *submits = journal.outstanding()[text].submits());
         }
         assert!(refused > 50 && refused < 400, "{durability:?}: {refused} of 400");
-        assert_eq!(wal.owed().len(), promised.len());
+        assert_eq!(journal.outstanding().len(), promised.len());
     }
 }
 
@@ -339,25 +340,25 @@
 #[test]
 fn a_clock_set_back_moves_what_is_owed() {
     let folder = Folder::new();
-    let mut wal = Wal::open(&folder.state(), &limits(), now()).expect("opens");
-    a_life(&mut wal);
-    wal.flush().expect("written");
-    drop(wal);
+    let mut journal = TextJournal::open(&folder.state(), &limits(), now()).expect("opens");
+    a_life(&mut journal);
+    journal.flush().expect("written");
+    drop(journal);
     let day = Span::millis(86_400_000);
     // Each life a little later than the one before; the second finds all set right.
     for later in [0, 700, 900] {
         let back = now() - day + Span::millis(later);
-        let wal = Wal::open(&folder.state(), &limits(), back).expect("opens");
-        let left = Moment::from_millis(wal.owed()[&1].info.until_ms).since(now() - day);
+        let journal = TextJournal::open(&folder.state(), &limits(), back).expect("opens");
+        let left = Moment::from_millis(journal.outstanding()[&1].info.until_ms).since(now() - day);
         // The newest time known was 3 ms after the first.
         assert_eq!(left, Span::millis(20_000 - 3));
         // It was set back by that at least: how old a doubt is nobody knows, so it is too old for a repeat.
-        assert_eq!(past(&wal.owed()[&1]), (1, Some((Moment::from_millis(0.0), ZoneId(1)))));
+        assert_eq!(past(&journal.outstanding()[&1]), (1, Some((Moment::from_millis(0.0), ZoneId(1)))));
     }
     // Set forward it looks like a long absence.
-    let wal = Wal::open(&folder.state(), &limits(), now() + day).expect("opens");
-    assert!(Moment::from_millis(wal.owed()[&1].info.until_ms) < now() + day);
-    assert_eq!(past(&wal.owed()[&2]).0, 4);
+    let journal = TextJournal::open(&folder.state(), &limits(), now() + day).expect("opens");
+    assert!(Moment::from_millis(journal.outstanding()[&1].info.until_ms) < now() + day);
+    assert_eq!(past(&journal.outstanding()[&2]).0, 4);
 }
 
 /// A log as the format before wrote it: length, checksum, a line of JSON, the body.
@@ -410,13 +411,13 @@
     fs::write(&log, [&old_life()[..], b"torn"].concat()).expect("writable");
     fs::write(folder.state().join("texts.next"), b"half a file").expect("writable");
     // The numbers start anew, and text 4 was over: those after it move up.
-    let check_carried = |wal: &Wal| {
-        let owed: BTreeMap<usize, Owed> = wal
-            .owed()
+    let check_carried = |journal: &TextJournal| {
+        let owed: BTreeMap<usize, OutstandingText> = journal
+            .outstanding()
             .values()
             .map(|owed| (owed.info.id[1..].parse().expect("a number"), owed.clone()))
             .collect();
-        check(&owed, wal.held());
+        check(&owed, journal.unfinished());
         assert_eq!(owed.len(), 5);
     };
     for life in 0..3 {
@@ -424,8 +425,8 @@
         if life == 1 {
             fs::write(&log, old_life()).expect("writable");
         }
-        let wal = Wal::open(&folder.state(), &limits(), now()).expect("opens");
-        check_carried(&wal);
+        let journal = TextJournal::open(&folder.state(), &limits(), now()).expect("opens");
+        check_carried(&journal);
         assert_eq!(fs::read_dir(folder.state()).expect("there").count(), 1, "only the journal");
     }
     // Gone back to the format before, which submitted text 1 again, and forward once more.
@@ -437,16 +438,20 @@
         (r#"{"Sent":{"text":0,"sent":{"submits":3,"doubt":null,"last":[1e12,"a"]}}}"#, b""),
     ]);
     fs::write(&log, more).expect("writable");
-    let wal = Wal::open(&folder.state(), &limits(), now()).expect("opens");
-    let submits: Vec<usize> =
-        wal.owed().values().filter(|owed| owed.info.id == "t1").map(Owed::submits).collect();
-    assert_eq!((submits, wal.owed().len()), (vec![3], 5));
+    let journal = TextJournal::open(&folder.state(), &limits(), now()).expect("opens");
+    let submits: Vec<usize> = journal
+        .outstanding()
+        .values()
+        .filter(|owed| owed.info.id == "t1")
+        .map(OutstandingText::submits)
+        .collect();
+    assert_eq!((submits, journal.outstanding().len()), (vec![3], 5));
 }
 
 /// A program that another test starts has a copy of every descriptor for a moment, and so of the lock.
-fn look(folder: &Folder) -> std::io::Result<wal::Looked> {
+fn look(folder: &Folder) -> std::io::Result<text_journal::JournalContents> {
     loop {
-        match wal::look(&folder.state()) {
+        match text_journal::read_contents(&folder.state()) {
             Err(e) if e.kind() == ErrorKind::ResourceBusy => thread::yield_now(),
             looked => return looked,
         }
@@ -456,25 +461,28 @@
 #[test]
 fn one_folder_is_for_one_process_and_a_newer_format_is_left_alone() {
     let folder = Folder::new();
-    let wal = Wal::open(&folder.state(), &limits(), now()).expect("opens");
+    let journal = TextJournal::open(&folder.state(), &limits(), now()).expect("opens");
     let at_once = Limits { lock_wait: Duration::ZERO, ..limits() };
-    let second = Wal::open(&folder.state(), &at_once, now()).err().expect("refused");
+    let second = TextJournal::open(&folder.state(), &at_once, now()).err().expect("refused");
     assert_eq!(second.kind(), ErrorKind::ResourceBusy);
-    assert_eq!(wal::look(&folder.state()).err().expect("refused").kind(), ErrorKind::ResourceBusy);
+    assert_eq!(
+        text_journal::read_contents(&folder.state()).err().expect("refused").kind(),
+        ErrorKind::ResourceBusy
+    );
     // One that ends a moment later is waited for.
     let late = thread::spawn(move || {
         thread::sleep(Duration::from_millis(50));
-        drop(wal);
+        drop(journal);
     });
-    drop(Wal::open(&folder.state(), &limits(), now()).expect("the first one is gone by then"));
+    drop(TextJournal::open(&folder.state(), &limits(), now()).expect("the first one is gone by then"));
     late.join().expect("ends");
-    assert!(look(&folder).expect("reads").owed.is_empty());
+    assert!(look(&folder).expect("reads").outstanding.is_empty());
     let manifest = folder.state().join("journal/manifest");
     let mut bytes = fs::read(&manifest).expect("there");
     bytes[8] = 9;
     fs::write(&manifest, &bytes).expect("writable");
     for complaint in [
-        Wal::open(&folder.state(), &limits(), now()).err().expect("refused"),
+        TextJournal::open(&folder.state(), &limits(), now()).err().expect("refused"),
         look(&folder).err().expect("refused"),
     ] {
         assert!(complaint.to_string().contains("format 9 is newer than 1"), "{complaint}");
@@ -494,11 +502,11 @@
     let (mut refused, mut read) = (0, 0);
     for turn in 0..2000 {
         // A text's own record with some bytes changed, or nothing but noise.
-        let mut wal = Wal::on(Simulated::new(), &limits, now()).expect("new");
-        wal.take(info(turn), vec![3; 20].into(), now()).expect("room");
-        wal.flush().expect("no fault is set");
+        let mut journal = TextJournal::with_store(Simulated::new(), &limits, now()).expect("new");
+        journal.accept(info(turn), vec![3; 20].into(), now()).expect("room");
+        journal.flush().expect("no fault is set");
         let mut payload = Vec::new();
-        let store = wal.into_store().after_kill();
+        let store = journal.into_store().after_kill();
         let mut hear = |_, entry: Entry| {
             if let Entry::Open(bytes) = entry {
                 payload = bytes.to_vec();
@@ -521,8 +529,8 @@
         journal.commit(Duration::ZERO, &mut |_, _| {}).expect("no fault is set");
         let store = journal.into_store().after_kill();
         let held = store.held();
-        match Wal::on(store.clone(), &limits, now()) {
-            Ok(wal) => read += usize::from(wal.owed().len() == 1),
+        match TextJournal::with_store(store.clone(), &limits, now()) {
+            Ok(journal) => read += usize::from(journal.outstanding().len() == 1),
             Err(e) => {
                 assert!(e.to_string().contains("sound records can't be read by this program"), "{e}");
                 refused += 1;
@@ -539,10 +547,10 @@
 fn what_was_refused_is_not_owed_by_the_next_life() {
     let limits = limits();
     let promised = |store: Simulated| {
-        let mut wal = Wal::on(store, &limits, now()).expect("opens");
-        wal.take(info(9), vec![9; 60].into(), now()).expect("room");
-        wal.flush().expect("nothing fails yet");
-        wal
+        let mut journal = TextJournal::with_store(store, &limits, now()).expect("opens");
+        journal.accept(info(9), vec![9; 60].into(), now()).expect("room");
+        journal.flush().expect("nothing fails yet");
+        journal
     };
     let begun = promised(Simulated::new()).into_store().calls();
     let (mut found, mut unsure) = (Vec::new(), 0);
@@ -550,40 +558,43 @@
         let store = (1..40).fold(Simulated::new().fault(begun, Fault::Short(bytes)), |store, later| {
             store.fault(begun + later, Fault::Error(ErrorKind::Other))
         });
-        let mut wal = promised(store);
+        let mut journal = promised(store);
         let refused: Vec<usize> =
-            (0..4).filter_map(|at| wal.take(info(at), vec![7; 60].into(), now())).collect();
-        if wal.flush().is_ok() {
+            (0..4).filter_map(|at| journal.accept(info(at), vec![7; 60].into(), now())).collect();
+        if journal.flush().is_ok() {
             continue;
         }
         // Of the others no promise is made.
-        unsure += refused.iter().filter(|text| wal.may_be_found(**text)).count();
+        unsure += refused.iter().filter(|text| journal.may_be_recovered(**text)).count();
         let refused: Vec<String> = refused
             .into_iter()
-            .filter(|text| !wal.may_be_found(*text))
-            .map(|text| wal.owed()[&text].info.id.clone())
+            .filter(|text| !journal.may_be_recovered(*text))
+            .map(|text| journal.outstanding()[&text].info.id.clone())
             .collect();
-        let taken: Vec<usize> = wal.owed().keys().copied().filter(|text| *text != 0).collect();
-        taken.iter().for_each(|text| wal.forget(*text));
-        let next = Wal::on(wal.into_store().after_kill(), &limits, now()).expect("opens");
-        let owed = next.owed().values().map(|owed| owed.info.id.as_str());
+        let taken: Vec<usize> = journal.outstanding().keys().copied().filter(|text| *text != 0).collect();
+        taken.iter().for_each(|text| journal.abandon(*text));
+        let next = TextJournal::with_store(journal.into_store().after_kill(), &limits, now()).expect("opens");
+        let owed = next.outstanding().values().map(|owed| owed.info.id.as_str());
         found.extend(
             owed.filter(|id| refused.iter().any(|other| other == id)).map(|id| (bytes, id.to_owned())),
         );
-        assert!(next.owed().values().any(|owed| owed.info.id == "t9"), "{bytes}: what was promised is lost");
+        assert!(
+            next.outstanding().values().any(|owed| owed.info.id == "t9"),
+            "{bytes}: what was promised is lost"
+        );
     }
     assert!(found.is_empty(), "refused and owed: {found:?}");
     assert!(unsure > 0, "nothing was left in doubt");
     // Where what came of a write is cut off again, a text is refused for sure.
     for bytes in (8..400).step_by(8) {
         let store = Simulated::new().fault(begun, Fault::Short(bytes));
-        let mut wal = promised(store.fault(begun + 1, Fault::Error(ErrorKind::Other)));
-        let text = wal.take(info(0), vec![7; 600].into(), now()).expect("room");
-        assert!(wal.flush().is_err());
-        assert!(!wal.may_be_found(text), "{bytes}: it was cut off");
-        wal.forget(text);
-        let next = Wal::on(wal.into_store().after_kill(), &limits, now()).expect("opens");
-        assert_eq!(next.owed().len(), 1, "{bytes}");
+        let mut journal = promised(store.fault(begun + 1, Fault::Error(ErrorKind::Other)));
+        let text = journal.accept(info(0), vec![7; 600].into(), now()).expect("room");
+        assert!(journal.flush().is_err());
+        assert!(!journal.may_be_recovered(text), "{bytes}: it was cut off");
+        journal.abandon(text);
+        let next = TextJournal::with_store(journal.into_store().after_kill(), &limits, now()).expect("opens");
+        assert_eq!(next.outstanding().len(), 1, "{bytes}");
     }
 }
 
@@ -594,17 +605,17 @@
     let mut limits = limits();
     limits.journal.durability = Durability::Batch;
     let promised = |store: Simulated| {
-        let mut wal = Wal::on(store, &limits, now()).expect("opens");
-        wal.take(info(9), vec![9; 60].into(), now()).expect("room");
-        wal.flush().expect("nothing fails yet");
-        wal
+        let mut journal = TextJournal::with_store(store, &limits, now()).expect("opens");
+        journal.accept(info(9), vec![9; 60].into(), now()).expect("room");
+        journal.flush().expect("nothing fails yet");
+        journal
     };
     let begun = promised(Simulated::new()).into_store().calls();
     // The write itself, then its sync.
-    let mut wal = promised(Simulated::new().fault(begun + 1, Fault::Error(ErrorKind::Other)));
-    let text = wal.take(info(0), vec![7; 60].into(), now()).expect("room");
-    assert!(wal.flush().is_err());
-    assert!(wal.may_be_found(text), "it was written");
-    let found = Wal::on(wal.into_store().after_kill(), &limits, now()).expect("opens");
-    assert!(found.owed().values().any(|owed| owed.info.id == "t0"));
+    let mut journal = promised(Simulated::new().fault(begun + 1, Fault::Error(ErrorKind::Other)));
+    let text = journal.accept(info(0), vec![7; 60].into(), now()).expect("room");
+    assert!(journal.flush().is_err());
+    assert!(journal.may_be_recovered(text), "it was written");
+    let found = TextJournal::with_store(journal.into_store().after_kill(), &limits, now()).expect("opens");
+    assert!(found.outstanding().values().any(|owed| owed.info.id == "t0"));
 }
--- a/crates/sender/tests/sender/parts.rs
+++ b/crates/sender/tests/sender/parts.rs
@@ -18,7 +18,7 @@
 use indigomast_sender::peer::{Ask, Peer, Trunk};
 use indigomast_sender::places::Places;
 use indigomast_sender::ring::Ring;
-use indigomast_sender::wal::{TextInfo, Wal};
+use indigomast_sender::text_journal::{TextInfo, TextJournal};
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
@@ -344,8 +344,8 @@
     let (limits, counters, figures) = (Arc::new(limits), Arc::<Counters>::default(), Arc::default());
     let ((decider, words), (list, _), (notices, reports)) = (unbounded(), unbounded(), unbounded());
     let clock = Clock::start();
-    let mut wal = Wal::open(&folder.state(), &limits, clock.now()).expect("opens");
-    let table = settle(&mut wal, &mut site, &figures);
+    let mut journal = TextJournal::open(&folder.state(), &limits, clock.now()).expect("opens");
+    let table = settle(&mut journal, &mut site, &figures);
     let site = Arc::new(InForce::new(site));
     let trunk = Arc::new(Trunk::new(&limits, &counters, &figures, &decider, &site, &budget(&limits)));
     let (counted, granted, handover_state, handover) =
@@ -353,7 +353,7 @@
     #[rustfmt::skip]
     let actor = Decider {
         list_keeper: None,
-        clock, limits, counters, figures, site, table, trunk, list, notices, wal, seed: 1, known, handover_state, handover,
+        clock, limits, counters, figures, site, table, trunk, list, notices, journal, seed: 1, known, handover_state, handover,
     };
     Lone { actor, decider, words, reports, counted, limits: granted, folder }
 }
@@ -445,5 +445,10 @@
     work.join().expect("no panic");
     assert!(reports.is_empty());
     assert_eq!((counters.withdrawn.value(), counters.taken.value(), counters.submitted.value()), (4, 1, 0));
-    assert!(Wal::open(&folder.state(), &limits, Clock::start().now()).expect("opens").owed().is_empty());
+    assert!(
+        TextJournal::open(&folder.state(), &limits, Clock::start().now())
+            .expect("opens")
+            .outstanding()
+            .is_empty()
+    );
 }
--- a/crates/sender/tests/sender/readiness.rs
+++ b/crates/sender/tests/sender/readiness.rs
@@ -10,7 +10,7 @@
 use indigomast_journal::{Simulated, Store};
 use indigomast_sender::clock::Clock;
 use indigomast_sender::limits::{Grant, Limits};
-use indigomast_sender::wal::{TextInfo, Wal};
+use indigomast_sender::text_journal::{TextInfo, TextJournal};
 use serde_json::json;
 use std::io;
 use std::time::{Duration, Instant};
@@ -102,24 +102,30 @@
 
 /// As many texts as there is room for, over and over, until one and a half times of what files may hold was written. Some
 /// texts stay, or the oldest segments would just go.
-fn fill<S: Store>(wal: &mut Wal<S>, length: usize, most: u64, now: Moment, of: impl Fn(usize) -> TextInfo) {
+fn fill<S: Store>(
+    journal: &mut TextJournal<S>,
+    length: usize,
+    most: u64,
+    now: Moment,
+    of: impl Fn(usize) -> TextInfo,
+) {
     let mut taken = 0;
     loop {
-        while let Some(text) = wal.take(of(taken), vec![taken as u8; length].into(), now) {
+        while let Some(text) = journal.accept(of(taken), vec![taken as u8; length].into(), now) {
             taken += 1;
             if text % 16 == 0 {
-                wal.flush().expect("it fits");
+                journal.flush().expect("it fits");
             }
         }
-        wal.flush().expect("it fits");
+        journal.flush().expect("it fits");
         if (taken * length) as u64 > most / 2 * 3 {
             return;
         }
-        let owed: Vec<usize> = wal.owed().keys().copied().collect();
+        let owed: Vec<usize> = journal.outstanding().keys().copied().collect();
         for text in owed.into_iter().filter(|text| text % 50 != 0) {
-            wal.ended(text, None);
+            journal.record_end(text, None);
             if text % 16 == 1 {
-                wal.flush().expect("it fits");
+                journal.flush().expect("it fits");
             }
         }
     }
@@ -136,14 +142,14 @@
         let limits = Limits::of(Grant::new(memory_mb, 1024, disk_mb));
         let most = limits.journal.most;
         assert!(most <= memory_mb << 19, "{memory_mb} MB of memory, {disk_mb} of disk: {most} bytes");
-        let mut wal = Wal::on(Counted::default(), &limits, now).expect("opens");
-        fill(&mut wal, length, most, now, info);
-        let full = wal.into_store();
+        let mut journal = TextJournal::with_store(Counted::default(), &limits, now).expect("opens");
+        fill(&mut journal, length, most, now, info);
+        let full = journal.into_store();
         let held = full.store.held() as u64;
         assert!(held > most / 3, "{held} of {most}");
-        let wal = Wal::on(full.again(), &limits, now).expect("opens");
-        assert!(wal.owed().len() > 5);
-        let begun = wal.into_store();
+        let journal = TextJournal::with_store(full.again(), &limits, now).expect("opens");
+        assert!(journal.outstanding().len() > 5);
+        let begun = journal.into_store();
         let segments = most.div_ceil(limits.journal.segment);
         assert!(begun.read <= held + 64 * segments, "{} read of {held}", begun.read);
         assert!(begun.written <= 4096, "{} written", begun.written);
@@ -169,14 +175,14 @@
     let limits = Limits::of(Grant::new(memory_mb, 1024, disk_mb));
     let now = Clock::start().now();
     let until_ms = now.as_millis() + 600_000.0;
-    let mut wal = Wal::open(&folder.state(), &limits, now).expect("opens");
-    fill(&mut wal, 600, limits.journal.most, now, |id| TextInfo {
+    let mut journal = TextJournal::open(&folder.state(), &limits, now).expect("opens");
+    fill(&mut journal, 600, limits.journal.most, now, |id| TextInfo {
         until_ms,
         key: Some(format!("k{}", id % 999)),
         ..info(id)
     });
-    let owed = wal.owed().len();
-    drop(wal);
+    let owed = journal.outstanding().len();
+    drop(journal);
     for start in 0..3 {
         let since = Instant::now();
         let mut daemon = Daemon::start(&config, &folder);
@@ -197,25 +203,26 @@
     let longest = limits.journal.longest;
     let before =
         Limits { journal: indigomast_journal::Settings::within(64 << 20, longest), ..limits.clone() };
-    let mut wal = Wal::on(Simulated::new(), &before, now).expect("opens");
-    fill(&mut wal, 8000, 64 << 20, now, info);
-    let owed: Vec<usize> = wal.owed().keys().copied().collect();
-    let store = wal.into_store().after_kill();
+    let mut journal = TextJournal::with_store(Simulated::new(), &before, now).expect("opens");
+    fill(&mut journal, 8000, 64 << 20, now, info);
+    let owed: Vec<usize> = journal.outstanding().keys().copied().collect();
+    let store = journal.into_store().after_kill();
     let long = store.held() as u64;
     assert!(long > limits.journal.most, "{long} is none too long");
-    let mut wal = Wal::on(store, &limits, now).expect("opens");
-    assert!(wal.owed().keys().copied().eq(owed.iter().copied()), "all that is owed is found");
+    let mut journal = TextJournal::with_store(store, &limits, now).expect("opens");
+    assert!(journal.outstanding().keys().copied().eq(owed.iter().copied()), "all that is owed is found");
     // Submits go on, texts end, and others come.
     for text in &owed {
-        wal.submitted(*text, now, "zone");
-        wal.flush().expect("what is owed can be written");
-        wal.ended(*text, None);
-        wal.flush().expect("what is over can be written");
-    }
-    let taken =
-        (0..200).filter(|id| wal.take(info(1_000_000 + id), vec![1; 8000].into(), now).is_some()).count();
-    wal.flush().expect("it fits");
+        journal.record_submit(*text, now, "zone");
+        journal.flush().expect("what is owed can be written");
+        journal.record_end(*text, None);
+        journal.flush().expect("what is over can be written");
+    }
+    let taken = (0..200)
+        .filter(|id| journal.accept(info(1_000_000 + id), vec![1; 8000].into(), now).is_some())
+        .count();
+    journal.flush().expect("it fits");
     assert_eq!(taken, 200);
-    let held = wal.into_store().held() as u64;
+    let held = journal.into_store().held() as u64;
     assert!(held <= limits.journal.most, "{held} of {}", limits.journal.most);
 }
--- a/crates/sender/tests/sender/samples.rs
+++ b/crates/sender/tests/sender/samples.rs
@@ -1,7 +1,7 @@
 //! Folders of each earlier format, made by the program as it was then, are read by the program as it is.
 
 use crate::common::*;
-use indigomast_sender::wal::{self, Kept};
+use indigomast_sender::text_journal::{self, AuxiliaryRecord};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -29,11 +29,11 @@
 fn a_journal_of_format_1_is_read_to_the_last_field() {
     let folder = Folder::new();
     copy(&sample("journal-1"), &folder.state());
-    let looked = wal::look(&folder.state()).expect("it is read");
-    assert_eq!(looked.unread, 0);
-    assert_eq!(looked.kept.iter().filter(|kept| matches!(kept, Kept::Out { .. })).count(), 1);
-    assert!(looked.kept.contains(&Kept::Out { endpoint: "e0".into() }));
-    let owed: Vec<_> = looked.owed.values().collect();
+    let looked = text_journal::read_contents(&folder.state()).expect("it is read");
+    assert_eq!(looked.unreadable, 0);
+    assert_eq!(looked.auxiliary.iter().filter(|kept| matches!(kept, AuxiliaryRecord::Out { .. })).count(), 1);
+    assert!(looked.auxiliary.contains(&AuxiliaryRecord::Out { endpoint: "e0".into() }));
+    let owed: Vec<_> = looked.outstanding.values().collect();
     assert_eq!(owed.len(), OWED.len());
     for (owed, (id, product, submits)) in owed.into_iter().zip(OWED) {
         assert_eq!(
