--- a/crates/sender/src/control.rs
+++ b/crates/sender/src/control.rs
@@ -5,7 +5,7 @@
 //! answer is waited for no longer than a caller waits. `docs/operate/operations.md` tells how it is used.
 
 use crate::counters::Counters;
-use crate::decider::Word;
+use crate::decider::Message;
 use crate::figures::Figures;
 use crate::http::{self, Rejection};
 use crate::limits::Limits;
@@ -245,7 +245,7 @@
         let (reply, answer) = bounded(1);
         let by = Instant::now() + self.limits.order_time;
         let order = Order { endpoint: endpoint.to_owned(), out, by, reply };
-        if self.decider.try_send(Word::Order(order)).is_err() {
+        if self.decider.try_send(Message::Order(order)).is_err() {
             return self.say(caller, 503, "");
         }
         caller.asked = Some((answer, by + self.limits.order_slack));
--- a/crates/sender/src/decider.rs
+++ b/crates/sender/src/decider.rs
@@ -48,27 +48,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It is in the log. Whoever asked says whether the client has heard of it.
-    Taken(TextId),
+    Accepted(TextId),
     /// Handed in before under this id, and taken on then.
-    Known,
+    AlreadyAccepted,
     /// Another text was handed in under this id, and that one was taken on.
-    Other,
+    IdConflict,
     Full,
     /// This sender could not answer for it just now: come back after so long.
-    Later(Span),
+    RetryAfter(Span),
     /// It is not taken on, but a part of it may be in the journal, and then a next life may send it: no promise is made.
-    Unsure,
+    Indeterminate,
     /// No list has ever named its destination.
-    NoSuchDest,
+    UnknownDestination,
 }
 
-pub enum Word {
+pub enum Message {
     HandIn(HandIn),
     /// The client has its answer, or has gone before.
-    Heard(TextId),
-    Gone(TextId),
+    AnswerDelivered(TextId),
+    AnswerLost(TextId),
     /// The client was sent away before the decider answered here. Not by its id: another may have come by it.
-    Abandoned(Receiver<Admission>),
+    RequestAbandoned(Receiver<Admission>),
     Outcome(Outcome),
     /// None where asking failed.
     Listed(Option<Listing>),
@@ -83,19 +83,19 @@
     Reported(Vec<TextId>),
     /// An operator's.
     Order(Order),
-    Settings(Box<Change>),
+    ChangeSettings(Box<SettingsChange>),
     Stop,
 }
 
 /// Settings to be put in force, and who is told whether they are.
-pub struct Change {
+pub struct SettingsChange {
     pub site: Site,
     pub reply: Sender<Result<(), String>>,
 }
 
 /// Brings the terms that the journal knows and those of the settings together, before anything is taken on under them.
 /// Terms that nothing at hand has any more are forgotten.
-pub fn settle(wal: &mut Wal, site: &mut Site, figures: &Figures) -> Table {
+pub fn reconcile_products(wal: &mut Wal, site: &mut Site, figures: &Figures) -> Table {
     let known = |wal: &Wal| {
         let rows = wal.kept().filter_map(|kept| match kept {
             Kept::Terms { reference, terms } => Some((reference.clone(), terms.clone())),
@@ -217,7 +217,7 @@
 
 impl Decider {
     /// Reads back what an earlier life left, then works until told to stop and done with it.
-    pub fn run(self, words: Receiver<Word>) {
+    pub fn run(self, words: Receiver<Message>) {
         let site = self.site.get();
         let settings = Settings { products: self.table.products(), ..site.info.decode() };
         let ends = self.table.rows().iter().map(|(_, terms)| self.figures.product(&terms.name)).collect();
@@ -295,10 +295,10 @@
 
 impl Desk {
     /// Whether it left its place to another process.
-    fn work(&mut self, words: &Receiver<Word>) -> bool {
+    fn work(&mut self, words: &Receiver<Message>) -> bool {
         loop {
             let wait = self.wake.map_or(Span::ZERO, |at| at.since(self.clock.now()));
-            let mut heard: Vec<Word> = words.recv_timeout(duration(wait)).into_iter().collect();
+            let mut heard: Vec<Message> = words.recv_timeout(duration(wait)).into_iter().collect();
             let late = self.wake.map_or(Span::ZERO, |at| self.clock.now().since(at));
             if late > span(self.limits.stall) {
                 thread::sleep(self.limits.stall_pause);
@@ -308,11 +308,11 @@
             }
             heard.extend(words.try_iter().take(self.limits.mailbox));
             // An answer that has come is worth more than a time that is up.
-            let late = |word: &Word| matches!(word, Word::Outcome(o) if o.verdict == Verdict::TimeOut);
+            let late = |word: &Message| matches!(word, Message::Outcome(o) if o.verdict == Verdict::TimeOut);
             heard.sort_by_key(|word| match word {
                 // Before new texts: those taken on come first, and what ends there makes room.
-                Word::Outcome(_) if !late(word) => 0,
-                Word::Reported(_) => 0,
+                Message::Outcome(_) if !late(word) => 0,
+                Message::Reported(_) => 0,
                 _ if late(word) => 2,
                 _ => 1,
             });
@@ -345,7 +345,7 @@
     }
 
     /// Takes the next step towards another process's taking over; whether that was the last one.
-    fn hands_over(&mut self, words: &Receiver<Word>) -> bool {
+    fn hands_over(&mut self, words: &Receiver<Message>) -> bool {
         let now = self.clock.now();
         let Some(Handover { watch, machine, intake, folder }) = &mut self.handover else { return false };
         let asked = watch.asked();
@@ -431,11 +431,11 @@
         since >= self.limits.stop_most || (since >= self.limits.stop_least && over)
     }
 
-    fn hear(&mut self, word: Word) {
+    fn hear(&mut self, word: Message) {
         match word {
-            Word::HandIn(text) => self.hand_in(text),
-            Word::Heard(text) => {
-                if !self.open(text, Admission::Known) {
+            Message::HandIn(text) => self.hand_in(text),
+            Message::AnswerDelivered(text) => {
+                if !self.open(text, Admission::AlreadyAccepted) {
                     return;
                 }
                 let Some(owed) = self.wal.owed().get(&text.0) else { return };
@@ -446,13 +446,13 @@
                 log_account!(text = text.0, dest = info.dest, left; "taken");
                 self.pass_gate(text, info.key.as_deref(), Some(Event::Taken(handed)));
             }
-            Word::Abandoned(answer) => {
+            Message::RequestAbandoned(answer) => {
                 // One that is not answered yet is met by the answer that finds nobody.
-                if let Ok(Admission::Taken(text)) = answer.try_recv() {
-                    self.hear(Word::Gone(text));
+                if let Ok(Admission::Accepted(text)) = answer.try_recv() {
+                    self.hear(Message::AnswerLost(text));
                 }
             }
-            Word::Gone(text) => {
+            Message::AnswerLost(text) => {
                 if !self.open(text, Admission::Full) {
                     return;
                 }
@@ -463,7 +463,7 @@
                 self.ids.remove(&id);
                 self.pass_gate(text, key.as_deref(), None);
             }
-            Word::Outcome(outcome) => {
+            Message::Outcome(outcome) => {
                 self.came_back(outcome.text, outcome.submit);
                 let wait = outcome.told_wait.map_or(0.0, Span::as_millis);
                 log_account!(
@@ -491,17 +491,17 @@
                 }
                 self.events.push(Event::Outcome(outcome));
             }
-            Word::Listed(Some(listing)) => {
+            Message::Listed(Some(listing)) => {
                 self.revision = Some(listing.revision);
                 self.list_keeper.iter_mut().for_each(|keeper| keeper.told(listing.revision));
                 let scope = if listing.complete { Scope::Complete } else { Scope::Partial };
                 self.listed(scope, listing.members);
             }
-            Word::Drained(members) => {
+            Message::Drained(members) => {
                 self.listed(Scope::Partial, members);
                 self.list_keeper.iter_mut().for_each(|keeper| keeper.keep(self.places.serving()));
             }
-            Word::ListLease { until, as_of, failed } => {
+            Message::ListLease { until, as_of, failed } => {
                 self.events.push(Event::ListLease(until));
                 if let Some(keeper) = &mut self.list_keeper
                     && keeper.confirmed(as_of, failed)
@@ -509,10 +509,10 @@
                     keeper.keep(self.places.serving());
                 }
             }
-            Word::Listed(None) => {
+            Message::Listed(None) => {
                 self.events.push(Event::Listed { scope: Scope::Error, entries: Vec::new() })
             }
-            Word::Reported(texts) => {
+            Message::Reported(texts) => {
                 for text in texts {
                     self.counters.reported.add(1);
                     let Some(owed) = self.wal.owed().get(&text.0) else { continue };
@@ -531,9 +531,9 @@
                     self.events.push(Event::Told(text));
                 }
             }
-            Word::Order(order) => self.order(order),
-            Word::Settings(change) => self.change(*change),
-            Word::Stop => _ = self.stopping.get_or_insert_with(Instant::now),
+            Message::Order(order) => self.order(order),
+            Message::ChangeSettings(change) => self.change(*change),
+            Message::Stop => _ = self.stopping.get_or_insert_with(Instant::now),
         }
     }
 
@@ -609,8 +609,8 @@
     }
 
     /// Puts other settings in force, or none of them.
-    fn change(&mut self, change: Change) {
-        let Change { mut site, reply } = change;
+    fn change(&mut self, change: SettingsChange) {
+        let SettingsChange { mut site, reply } = change;
         let before = self.table.len();
         let products = self.table.take(&site.info);
         let rows: Vec<Kept> = self.table.rows()[before..]
@@ -659,7 +659,7 @@
                 let unpromised = known.text.filter(|text| self.replies.iter().any(|(id, _)| id == text));
                 let undone = unpromised.is_some_and(|earlier| !known.proven && self.undo(earlier));
                 if !undone || !proven {
-                    _ = reply.try_send(Admission::Other);
+                    _ = reply.try_send(Admission::IdConflict);
                     return;
                 }
             } else {
@@ -668,13 +668,13 @@
                 match known.text.and_then(|known| self.unheard.get_mut(&known)) {
                     Some(others) if others.len() < self.limits.clients => others.push(reply),
                     Some(_) => _ = reply.try_send(Admission::Full),
-                    None => _ = reply.try_send(Admission::Known),
+                    None => _ = reply.try_send(Admission::AlreadyAccepted),
                 }
                 return;
             }
         }
         if !self.dests.knows(&info.dest) {
-            _ = reply.try_send(Admission::NoSuchDest);
+            _ = reply.try_send(Admission::UnknownDestination);
             return;
         }
         let now = self.clock.now();
@@ -685,7 +685,7 @@
             self.counters.turned_away_late.add(1);
             log_account!(dest = info.dest, why = "late"; "turned-away");
             log_request!(id = info.id, dest = info.dest, reason = "late"; "refused");
-            _ = reply.try_send(Admission::Later(again));
+            _ = reply.try_send(Admission::RetryAfter(again));
             return;
         }
         let (id, key) = (info.id.clone(), info.key.clone());
@@ -712,8 +712,9 @@
     fn undo(&mut self, text: TextId) -> bool {
         let Some(owed) = self.wal.owed().get(&text.0) else { return false };
         let (id, key) = (owed.info.id.clone(), owed.info.key.clone());
-        self.replies.retain(|(other, reply)| *other != text || reply.try_send(Admission::Other).is_err());
-        self.open(text, Admission::Other);
+        self.replies
+            .retain(|(other, reply)| *other != text || reply.try_send(Admission::IdConflict).is_err());
+        self.open(text, Admission::IdConflict);
         self.over(text);
         self.ids.remove(&id);
         self.pass_gate(text, key.as_deref(), None);
@@ -998,15 +999,16 @@
         }
         for (text, reply) in std::mem::take(&mut self.replies) {
             if flushed.is_ok() {
-                if reply.try_send(Admission::Taken(text)).is_err() {
-                    self.hear(Word::Gone(text));
+                if reply.try_send(Admission::Accepted(text)).is_err() {
+                    self.hear(Message::AnswerLost(text));
                 }
                 continue;
             }
             let Some(owed) = self.wal.owed().get(&text.0) else { continue };
             let key = owed.info.key.clone();
             self.ids.remove(&owed.info.id);
-            let answer = if self.wal.may_be_found(text.0) { Admission::Unsure } else { Admission::Full };
+            let answer =
+                if self.wal.may_be_found(text.0) { Admission::Indeterminate } else { Admission::Full };
             self.open(text, answer);
             key.iter().for_each(|key| self.keys.release(key));
             self.wal.forget(text.0);
--- a/crates/sender/src/intake.rs
+++ b/crates/sender/src/intake.rs
@@ -4,7 +4,7 @@
 use crate::clock::{Clock, span};
 use crate::config::{InForce, Site};
 use crate::counters::Counters;
-use crate::decider::{Admission, HandIn, Word};
+use crate::decider::{Admission, HandIn, Message};
 use crate::http::{self, Rejection, Request};
 use crate::limits::Limits;
 use crate::link::is_shortage;
@@ -588,12 +588,12 @@
                     return self.put(stream, outward, 503, "", true);
                 }
                 return match self.hand_in(info, request.body.into(), *proven, came) {
-                    Some(Admission::Known) => self.put(stream, outward, 202, "", close),
+                    Some(Admission::AlreadyAccepted) => self.put(stream, outward, 202, "", close),
                     Some(Admission::Full) | None => {
                         ends.deferred.add(1);
                         self.put(stream, outward, 503, "", close)
                     }
-                    Some(Admission::Later(again)) => {
+                    Some(Admission::RetryAfter(again)) => {
                         ends.deferred.add(1);
                         http::put_later(outward, again.as_secs(), close);
                         match outward.drain_to(&mut &*stream) {
@@ -601,31 +601,31 @@
                             _ => Next::Ends,
                         }
                     }
-                    Some(Admission::Unsure) => {
+                    Some(Admission::Indeterminate) => {
                         ends.errored.add(1);
                         self.put(stream, outward, 500, "", close)
                     }
-                    Some(Admission::Other) => {
+                    Some(Admission::IdConflict) => {
                         self.counters.bad_requests.add(1);
                         self.part(number, stream, 409);
                         Next::Ends
                     }
-                    Some(Admission::NoSuchDest) => {
+                    Some(Admission::UnknownDestination) => {
                         self.counters.bad_requests.add(1);
                         ends.errored.add(1);
                         self.slow_down(404);
                         self.put(stream, outward, 404, "", close)
                     }
-                    Some(Admission::Taken(text)) => {
+                    Some(Admission::Accepted(text)) => {
                         match quiet(stream) {
                             Quiet::Yes => {}
                             // A client that has gone hands the text in again, so this one must not go out as well.
                             Quiet::Ended => {
-                                _ = self.decider.send(Word::Gone(text));
+                                _ = self.decider.send(Message::AnswerLost(text));
                                 return self.put(stream, outward, 503, "", true);
                             }
                             Quiet::More => {
-                                _ = self.decider.send(Word::Gone(text));
+                                _ = self.decider.send(Message::AnswerLost(text));
                                 self.counters.bad_requests.add(1);
                                 self.part(number, stream, 400);
                                 return Next::Ends;
@@ -636,7 +636,11 @@
                         if heard && !std::mem::replace(proven, true) {
                             self.clients.tell(Event::HandedIn { number });
                         }
-                        _ = self.decider.send(if heard { Word::Heard(text) } else { Word::Gone(text) });
+                        _ = self.decider.send(if heard {
+                            Message::AnswerDelivered(text)
+                        } else {
+                            Message::AnswerLost(text)
+                        });
                         if heard && !close { Next::Goes } else { Next::Ends }
                     }
                 };
@@ -689,13 +693,13 @@
     /// Has the decider take a text on; `None` where it has no time to.
     fn hand_in(&self, info: TextInfo, body: Arc<[u8]>, proven: bool, came: Instant) -> Option<Admission> {
         let (reply, answer) = bounded(1);
-        if self.decider.try_send(Word::HandIn(HandIn { info, body, proven, came, reply })).is_err() {
+        if self.decider.try_send(Message::HandIn(HandIn { info, body, proven, came, reply })).is_err() {
             self.counters.turned_away.add(1);
             return None;
         }
         let admission = answer.recv_timeout(self.limits.admission).ok();
         if admission.is_none() {
-            _ = self.decider.send(Word::Abandoned(answer));
+            _ = self.decider.send(Message::RequestAbandoned(answer));
         }
         admission
     }
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -64,7 +64,7 @@
 use versions::{FORMATS, Floor, VERSION};
 
 /// The way to the decider.
-pub type Mailbox = crossbeam_channel::Sender<decider::Word>;
+pub type Mailbox = crossbeam_channel::Sender<decider::Message>;
 
 /// A sender that runs.
 pub struct Sender {
@@ -78,7 +78,7 @@
     reloader: Reloader,
     ended: Receiver<threads::Ended>,
     /// The decider's mailbox, for what nobody has read when it ends.
-    unread: Receiver<decider::Word>,
+    unread: Receiver<decider::Message>,
     /// Whether the socket for clients is shared with other processes, one of which may take over.
     shared: bool,
     /// Callers at the second address are served as long as this is there.
@@ -99,7 +99,7 @@
     pub fn stop(&self) {
         if !self.stopping.swap(true, Ordering::Relaxed) {
             self.ready.store(false, Ordering::Relaxed);
-            _ = self.decider.send(decider::Word::Stop);
+            _ = self.decider.send(decider::Message::Stop);
             self.intake.clients.shut_rested();
         }
     }
@@ -144,7 +144,7 @@
         config.follows(&self.in_force.get(), &keys, self.listen)?;
         let Config { outside, site, keys: now, revision, .. } = config;
         let (reply, answer) = bounded(1);
-        let change = decider::Word::Settings(Box::new(decider::Change { site, reply }));
+        let change = decider::Message::ChangeSettings(Box::new(decider::SettingsChange { site, reply }));
         let unheard = "the sender is too busy to take them over";
         self.decider.send_timeout(change, self.patience).map_err(|_| unheard)?;
         // Once it is in the mailbox it is taken over, however late.
@@ -252,7 +252,7 @@
         // The standard library asks for 128; asked again, the kernel takes the new length over.
         rustix::net::listen(&listener, limits.backlog).map_err(|e| format!("listen: {listen}: {e}"))?;
         let address = listener.local_addr().map_err(|e| format!("listen: {e}"))?;
-        let table = decider::settle(&mut wal, &mut site, &figures);
+        let table = decider::reconcile_products(&mut wal, &mut site, &figures);
         let (limits, in_force) = (Arc::new(limits), Arc::new(InForce::new(site)));
         let (list, asks) = bounded(limits.mailbox);
         let (notices, inbox) = bounded(limits.texts);
--- a/crates/sender/src/list.rs
+++ b/crates/sender/src/list.rs
@@ -3,7 +3,7 @@
 use crate::clock::{Clock, duration};
 use crate::config::{InForce, Site};
 use crate::counters::Counters;
-use crate::decider::Word;
+use crate::decider::Message;
 use crate::http::{self, AnswerHead};
 use crate::limits::Limits;
 use crate::link::{Fault, Link};
@@ -154,14 +154,14 @@
     /// Endpoints that drain or are gone, by an answer that is not whole, or came to a watch that is over.
     fn drained(&self, members: Vec<Listed>) {
         if !members.is_empty() {
-            _ = self.decider.send(Word::Drained(members));
+            _ = self.decider.send(Message::Drained(members));
         }
     }
 
     /// Until when the list in force may be acted on, and as of when it is whole.
     fn lease(&self, lease: &ListLease, now: Moment) {
         let (until, as_of, failed) = (lease.good_until(now), lease.as_of(), lease.has_failed());
-        _ = self.decider.send(Word::ListLease { until, as_of, failed });
+        _ = self.decider.send(Message::ListLease { until, as_of, failed });
     }
 
     /// What the list says now; none where asking failed, and then the one in force stays.
@@ -170,7 +170,7 @@
             Some(_) => self.counters.lists.add(1),
             None => self.counters.bad_lists.add(1),
         }
-        _ = self.decider.send(Word::Listed(listing));
+        _ = self.decider.send(Message::Listed(listing));
     }
 }
 
--- a/crates/sender/src/notices.rs
+++ b/crates/sender/src/notices.rs
@@ -1,6 +1,6 @@
 //! The actor that reports how texts ended, to the platform or wherever it is told to, until each report is answered.
 
-use crate::decider::Word;
+use crate::decider::Message;
 use crate::http;
 use crate::limits::Limits;
 use crate::link::Link;
@@ -76,7 +76,7 @@
         loop {
             match self.reporter.report(&batch) {
                 Ok(Answer::Heard) => {
-                    _ = self.decider.send(Word::Reported(batch.iter().map(|n| n.text).collect()));
+                    _ = self.decider.send(Message::Reported(batch.iter().map(|n| n.text).collect()));
                     return;
                 }
                 Ok(Answer::Unreadable) if batch.len() > 1 => {
@@ -85,7 +85,7 @@
                 }
                 Ok(Answer::Unreadable) => {
                     log!("the notice for {} can't be read by the platform and is dropped", batch[0].id);
-                    _ = self.decider.send(Word::Reported(vec![batch[0].text]));
+                    _ = self.decider.send(Message::Reported(vec![batch[0].text]));
                     return;
                 }
                 Err(e) => {
--- a/crates/sender/src/peer.rs
+++ b/crates/sender/src/peer.rs
@@ -9,7 +9,7 @@
 use crate::clock::span;
 use crate::config::InForce;
 use crate::counters::Counters;
-use crate::decider::Word;
+use crate::decider::Message;
 use crate::figures::Figures;
 use crate::limits::Limits;
 use crate::{Mailbox, log, threads};
@@ -244,7 +244,7 @@
             Verdict::Cancelled | Verdict::Moot => &counters.not_sent,
         };
         counter.add(1);
-        _ = self.decider.send(Word::Outcome(Outcome {
+        _ = self.decider.send(Message::Outcome(Outcome {
             text,
             submit,
             endpoint,
--- a/crates/sender/tests/sender/crossings.rs
+++ b/crates/sender/tests/sender/crossings.rs
@@ -6,7 +6,7 @@
 use indigomast::api::{Condition, KindId, TextId, Verdict, ZoneId};
 use indigomast_sender::clock::Clock;
 use indigomast_sender::config::{Config, InForce};
-use indigomast_sender::decider::Word;
+use indigomast_sender::decider::Message;
 use indigomast_sender::list::{self, List, Listed, Source, Teller};
 use indigomast_sender::peer::Ask;
 use indigomast_sender::places::Places;
@@ -167,7 +167,7 @@
     let revisions: Vec<u64> = words
         .try_iter()
         .filter_map(|word| match word {
-            Word::Listed(Some(listing)) => Some(listing.revision),
+            Message::Listed(Some(listing)) => Some(listing.revision),
             _ => None,
         })
         .collect();
--- a/crates/sender/tests/sender/edges.rs
+++ b/crates/sender/tests/sender/edges.rs
@@ -10,7 +10,7 @@
 use indigomast_admission::{Budget, Number, Purpose, State, Worth};
 use indigomast_sender::clock::Clock;
 use indigomast_sender::config::{Config, InForce};
-use indigomast_sender::decider::Word;
+use indigomast_sender::decider::Message;
 use indigomast_sender::intake::{Intake, PendingConnection};
 use indigomast_sender::reactor::Session;
 use indigomast_sender::wal::Wal;
@@ -277,7 +277,7 @@
 
 /// An intake whose decider is the test, with room for one connection, which has it; nobody looks at it before the test has
 /// a reactor run. It is a new one, or one that rests after a text.
-fn intake(rests: bool) -> (Arc<Intake>, Receiver<Word>, TcpStream) {
+fn intake(rests: bool) -> (Arc<Intake>, Receiver<Message>, TcpStream) {
     let (_discovery, _endpoint, config, folder) = world();
     let Config { mut limits, site, .. } =
         Config::parse(&config.to_string(), folder.state()).expect("well-formed");
@@ -324,7 +324,7 @@
         let work = Arc::clone(&intake);
         let reactor = thread::spawn(move || work.reactor.run(&work));
         let seen = saw(&mut client, b"");
-        let handed = words.try_iter().any(|word| matches!(word, Word::HandIn(_)));
+        let handed = words.try_iter().any(|word| matches!(word, Message::HandIn(_)));
         assert_eq!((handed, seen), (false, expected), "rests: {rests}");
         intake.close(None);
         reactor.join().expect("no panic");
--- a/crates/sender/tests/sender/parts.rs
+++ b/crates/sender/tests/sender/parts.rs
@@ -9,7 +9,7 @@
 use indigomast_sender::clock::Clock;
 use indigomast_sender::config::{Config, InForce};
 use indigomast_sender::counters::Counters;
-use indigomast_sender::decider::{Admission, Decider, HandIn, Word, settle};
+use indigomast_sender::decider::{Admission, Decider, HandIn, Message, reconcile_products};
 use indigomast_sender::http::{self, Rejection};
 use indigomast_sender::limits::Limits;
 use indigomast_sender::link::Link;
@@ -240,7 +240,7 @@
     let unanswered = endpoint.next();
     for _ in 0..2 {
         match words.recv_timeout(crate::common::PATIENCE) {
-            Ok(Word::Outcome(outcome)) => assert_eq!(outcome.verdict, Verdict::TimeOut),
+            Ok(Message::Outcome(outcome)) => assert_eq!(outcome.verdict, Verdict::TimeOut),
             _ => panic!("an outcome was due"),
         }
         assert!(sent.elapsed() >= Duration::from_millis(500));
@@ -251,14 +251,14 @@
 }
 
 /// What peers share, and the mailbox of their decider.
-pub fn trunk() -> (Arc<Trunk>, Receiver<Word>) {
+pub fn trunk() -> (Arc<Trunk>, Receiver<Message>) {
     let Lone { actor, .. } = lone();
     let (decider, words) = unbounded();
     (Arc::new(Trunk { decider, ..Arc::into_inner(actor.trunk).expect("nobody else has it") }), words)
 }
 
 /// A peer, what it shares, and the mailbox of its decider.
-pub fn peer(endpoint: &Host) -> (Sender<Ask>, Arc<Trunk>, Receiver<Word>) {
+pub fn peer(endpoint: &Host) -> (Sender<Ask>, Arc<Trunk>, Receiver<Message>) {
     let (trunk, words) = trunk();
     let (own, asks) = bounded(8);
     let shared = Arc::clone(&trunk);
@@ -287,9 +287,9 @@
     call
 }
 
-pub fn verdict(words: &Receiver<Word>) -> Verdict {
+pub fn verdict(words: &Receiver<Message>) -> Verdict {
     match words.recv_timeout(crate::common::PATIENCE) {
-        Ok(Word::Outcome(outcome)) => outcome.verdict,
+        Ok(Message::Outcome(outcome)) => outcome.verdict,
         _ => panic!("an outcome was due"),
     }
 }
@@ -327,8 +327,8 @@
 /// A decider whose neighbours are the test's own mailboxes.
 struct Lone {
     actor: Decider,
-    decider: Sender<Word>,
-    words: Receiver<Word>,
+    decider: Sender<Message>,
+    words: Receiver<Message>,
     reports: Receiver<Notice>,
     counted: Arc<Counters>,
     limits: Arc<Limits>,
@@ -345,7 +345,7 @@
     let ((decider, words), (list, _), (notices, reports)) = (unbounded(), unbounded(), unbounded());
     let clock = Clock::start();
     let mut wal = Wal::open(&folder.state(), &limits, clock.now()).expect("opens");
-    let table = settle(&mut wal, &mut site, &figures);
+    let table = reconcile_products(&mut wal, &mut site, &figures);
     let site = Arc::new(InForce::new(site));
     let trunk = Arc::new(Trunk::new(&limits, &counters, &figures, &decider, &site, &budget(&limits)));
     let (counted, granted, handover_state, handover) =
@@ -376,21 +376,21 @@
                 let until_ms = Clock::start().now().as_millis() + 20_000.0;
                 let info = TextInfo { until_ms, product: "queue".into(), ..info(7) };
                 let hand_in = HandIn { info, body: body.into(), proven, came: Instant::now(), reply };
-                decider.send(Word::HandIn(hand_in)).expect("it listens");
+                decider.send(Message::HandIn(hand_in)).expect("it listens");
                 answer
             })
             .collect();
         let work = thread::spawn(move || actor.run(words));
         let heard = answers.iter().map(|answer| match answer.recv_timeout(crate::common::PATIENCE) {
-            Ok(Admission::Taken(text)) => {
-                decider.send(Word::Gone(text)).expect("it listens");
+            Ok(Admission::Accepted(text)) => {
+                decider.send(Message::AnswerLost(text)).expect("it listens");
                 Ok(())
             }
-            Ok(Admission::Other) => Err(()),
+            Ok(Admission::IdConflict) => Err(()),
             other => panic!("{other:?}"),
         });
         assert_eq!(heard.collect::<Vec<_>>(), expected, "{first} {second}");
-        decider.send(Word::Stop).expect("it listens");
+        decider.send(Message::Stop).expect("it listens");
         work.join().expect("no panic");
         assert_eq!(counted.conflicts.value(), 1);
     }
@@ -406,7 +406,7 @@
         let until_ms = Clock::start().now().as_millis() + 40.0;
         let info = TextInfo { until_ms, product: product.into(), ..info(id) };
         decider
-            .send(Word::HandIn(HandIn {
+            .send(Message::HandIn(HandIn {
                 info,
                 body: Arc::default(),
                 proven: true,
@@ -417,31 +417,31 @@
         answer
     };
     let taken = |id, product| match hand_in(id, product).recv_timeout(crate::common::PATIENCE) {
-        Ok(Admission::Taken(text)) => text,
+        Ok(Admission::Accepted(text)) => text,
         other => panic!("{other:?}"),
     };
     // All of one key: gone after the answer, gone before it, abandoned, and one whose client stayed.
     let gone = taken(0, "queue");
     drop(hand_in(1, "queue"));
-    decider.send(Word::Abandoned(hand_in(2, "queue"))).expect("it listens");
+    decider.send(Message::RequestAbandoned(hand_in(2, "queue"))).expect("it listens");
     // Who comes by the id of an open request hears what becomes of that one, and is no text of its own.
     let other = taken(4, "queue");
     let (second, third) = (hand_in(4, "queue"), hand_in(4, "queue"));
-    decider.send(Word::Gone(other)).expect("it listens");
+    decider.send(Message::AnswerLost(other)).expect("it listens");
     for answer in [second, third] {
         assert_eq!(answer.recv_timeout(crate::common::PATIENCE), Ok(Admission::Full));
     }
     let heard = taken(3, "queue");
     let second = hand_in(3, "queue");
-    decider.send(Word::Heard(heard)).expect("it listens");
-    assert_eq!(second.recv_timeout(crate::common::PATIENCE), Ok(Admission::Known));
-    decider.send(Word::Gone(gone)).expect("it listens");
+    decider.send(Message::AnswerDelivered(heard)).expect("it listens");
+    assert_eq!(second.recv_timeout(crate::common::PATIENCE), Ok(Admission::AlreadyAccepted));
+    decider.send(Message::AnswerLost(gone)).expect("it listens");
     // With no endpoint every text that is owed ends by a notice; this one alone is.
     let notice = reports.recv_timeout(crate::common::PATIENCE).expect("a notice");
     assert_eq!((notice.text, &notice.id[..]), (heard, "t3"));
-    decider.send(Word::Heard(TextId(99))).expect("a text nobody knows changes nothing");
-    decider.send(Word::Reported(vec![heard])).expect("it listens");
-    decider.send(Word::Stop).expect("it listens");
+    decider.send(Message::AnswerDelivered(TextId(99))).expect("a text nobody knows changes nothing");
+    decider.send(Message::Reported(vec![heard])).expect("it listens");
+    decider.send(Message::Stop).expect("it listens");
     work.join().expect("no panic");
     assert!(reports.is_empty());
     assert_eq!((counters.withdrawn.value(), counters.taken.value(), counters.submitted.value()), (4, 1, 0));
