--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -6,9 +6,9 @@
 use indigomast::time::{Moment, Span};
 use indigomast_journal::Store;
 use indigomast_sender::config::Site;
+use indigomast_sender::endpoint_table::EndpointTable;
 use indigomast_sender::limits::{Grant, Limits};
 use indigomast_sender::list::{Listed, Listing, Page};
-use indigomast_sender::places::Places;
 use indigomast_site::{BootInfo, Names, read};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -121,7 +121,7 @@
 /// The decisions with what stands around them at a sender for each destination.
 pub struct Hollow {
     pub rules: Rules,
-    pub places: Places,
+    pub places: EndpointTable,
     dests: Names<u64>,
     pub now: Moment,
     next: usize,
@@ -141,7 +141,7 @@
         let now = Moment::from_millis(0.0);
         Hollow {
             rules: Rules::new(settings, seed),
-            places: Places::default(),
+            places: EndpointTable::default(),
             dests: Names::of(Vec::new()),
             now,
             next: 0,
@@ -179,7 +179,7 @@
         let mut entries = Vec::with_capacity(listing.members.len());
         let mut told = BTreeSet::new();
         for member in listing.members {
-            let (at, place) = self.places.put(&member);
+            let (at, place) = self.places.upsert(&member);
             told.insert(at);
             place.address = member.address.or(place.address);
             let Listed { dest, kind, zone, units, condition, .. } = member;
@@ -187,8 +187,8 @@
             entries.push(Entry { endpoint: at, dest, kind, zone, units, condition });
         }
         if listing.complete {
-            let off = self.places.all().into_iter().filter(|at| !told.contains(at));
-            off.for_each(|at| self.places.leaves(at));
+            let off = self.places.ids().into_iter().filter(|at| !told.contains(at));
+            off.for_each(|at| self.places.mark_unlisted(at));
         }
         let scope = if listing.complete { Scope::Complete } else { Scope::Partial };
         self.step(vec![Event::Listed { scope, entries }])
--- a/crates/sender/src/decider.rs
+++ b/crates/sender/src/decider.rs
@@ -5,6 +5,7 @@
 use crate::config::{InForce, Site};
 use crate::control::{Order, Refusal};
 use crate::counters::Counters;
+use crate::endpoint_table::EndpointTable;
 use crate::figures::{Ends, Figures};
 use crate::handover::{HandoverState, Watch};
 use crate::ids::Ids;
@@ -15,7 +16,6 @@
 use crate::list_file::ListKeeper;
 use crate::notices::Notice;
 use crate::peer::{self, Peer, Trunk};
-use crate::places::Places;
 use crate::terms::{self, Table};
 use crate::wal::{self, Kept, Report, TextInfo, Wal};
 use crate::{log, log_account, log_decision, log_request, log_state, threads};
@@ -180,7 +180,7 @@
     wal: Wal,
     rules: Rules,
     texts_per_call: Vec<usize>,
-    places: Places,
+    endpoints: EndpointTable,
     ids: Ids,
     dests: Names<u64>,
     keys: Keys,
@@ -234,7 +234,7 @@
                     handover_state;
                 (
                     Rules::successor(settings, seed, learnt),
-                    Places::successor(endpoints, next_endpoint),
+                    EndpointTable::successor(endpoints, next_endpoint),
                     Ids::successor(ids),
                     Names::of(dests),
                     Keys::successor(keys, next_key),
@@ -242,7 +242,7 @@
             }
             None => {
                 let none = Names::of(Vec::new());
-                (Rules::new(settings, seed), Places::default(), Ids::default(), none, Keys::default())
+                (Rules::new(settings, seed), EndpointTable::default(), Ids::default(), none, Keys::default())
             }
         };
         let mut desk = Desk {
@@ -261,7 +261,7 @@
             wal: self.wal,
             rules,
             texts_per_call,
-            places,
+            endpoints: places,
             ids,
             dests,
             keys,
@@ -284,7 +284,7 @@
         desk.resume();
         desk.decide();
         let left = desk.work(&words);
-        desk.places.all().into_iter().for_each(|at| desk.places.retire(at));
+        desk.endpoints.ids().into_iter().for_each(|at| desk.endpoints.retire(at));
         if left {
             // The lock goes with the process, not before: the next owner may submit what is still out here, and that is
             // over only once this process's connections are.
@@ -318,7 +318,7 @@
             });
             heard.into_iter().for_each(|word| self.hear(word));
             self.keys.forget(self.limits.key_rest);
-            self.places.forget(self.limits.place_rest);
+            self.endpoints.remove_expired(self.limits.place_rest);
             self.ids.forget(self.limits.id_rest, self.limits.texts);
             let now = self.clock.now();
             if self.wake.is_none_or(|at| at <= now) {
@@ -398,7 +398,7 @@
 
     /// All that the next owner has to know beside the journal.
     fn handover_state(&self) -> HandoverState {
-        let (endpoints, next_endpoint) = self.places.known();
+        let (endpoints, next_endpoint) = self.endpoints.snapshot();
         let (keys, next_key) = self.keys.left();
         let names = |names: &Names<String>| (0..names.len()).map(|at| names.name(at).clone()).collect();
         HandoverState {
@@ -420,8 +420,8 @@
         self.figures.holds(self.wal.owed().len());
         if self.seen.is_none_or(|seen| seen.elapsed() >= self.limits.sight_beat) {
             self.seen = Some(Instant::now());
-            let avoided = self.places.listed().filter(|at| self.rules.avoids(*at)).count();
-            self.figures.sees(self.places.listed().count(), avoided);
+            let avoided = self.endpoints.listed().filter(|at| self.rules.avoids(*at)).count();
+            self.figures.sees(self.endpoints.listed().count(), avoided);
         }
     }
 
@@ -464,7 +464,7 @@
                 self.pass_gate(text, key.as_deref(), None);
             }
             Message::Outcome(outcome) => {
-                self.came_back(outcome.text, outcome.submit);
+                self.submit_ended(outcome.text, outcome.submit);
                 let wait = outcome.told_wait.map_or(0.0, Span::as_millis);
                 log_account!(
                     text = outcome.text.0, submit = outcome.submit, endpoint = outcome.endpoint.0,
@@ -499,14 +499,14 @@
             }
             Message::Drained(members) => {
                 self.listed(Scope::Partial, members);
-                self.list_keeper.iter_mut().for_each(|keeper| keeper.keep(self.places.serving()));
+                self.list_keeper.iter_mut().for_each(|keeper| keeper.keep(self.endpoints.serving()));
             }
             Message::ListLease { until, as_of, failed } => {
                 self.events.push(Event::ListLease(until));
                 if let Some(keeper) = &mut self.list_keeper
                     && keeper.confirmed(as_of, failed)
                 {
-                    keeper.keep(self.places.serving());
+                    keeper.keep(self.endpoints.serving());
                 }
             }
             Message::Listed(None) => {
@@ -548,7 +548,7 @@
     /// Takes an endpoint out or gives it back. It is in force from now on: nothing new goes there in the step that writes
     /// the order down. The answer follows the journal.
     fn order(&mut self, order: Order) {
-        let known = self.places.find(&order.endpoint);
+        let known = self.endpoints.find(&order.endpoint);
         let is_out = self.out_by_hand().any(|name| name == order.endpoint);
         if known.is_none() && !is_out {
             _ = order.reply.try_send(Err(Refusal::UnknownEndpoint));
@@ -581,9 +581,9 @@
 
     /// Tells the decisions; connections of one that was taken out end as they come to rest.
     fn maintain(&mut self, name: &str, out: bool) {
-        let Some(endpoint) = self.places.find(name) else { return };
+        let Some(endpoint) = self.endpoints.find(name) else { return };
         if out {
-            self.places.retire(endpoint);
+            self.endpoints.retire(endpoint);
         }
         self.events.push(Event::Maintained { endpoint, out });
     }
@@ -808,26 +808,26 @@
         let mut told = BTreeSet::new();
         let out: Vec<String> = self.out_by_hand().map(str::to_owned).collect();
         for member in members {
-            if let Some(before) = self.places.replaced_by(&member) {
+            if let Some(before) = self.endpoints.remove_if_replaced(&member) {
                 entries.extend(self.deleted(before));
             }
-            let from = self.places.condition(&member.name);
+            let from = self.endpoints.condition(&member.name);
             if from != Some(member.condition) {
                 let (to, revision) = (member.condition, self.revision);
                 log_state!(endpoint = member.name, from:?, to:?, revision:?; "an endpoint changed its state");
             }
-            let (at, place) = self.places.put(&member);
+            let (at, place) = self.endpoints.upsert(&member);
             let (dest, condition, units) = (member.dest, member.condition, member.units);
             log_account!(endpoint = at.0, name = member.name, dest, kind = member.kind.0, condition:?, units; "listed");
             told.insert(at);
             let moved = member.address.is_some() && member.address != place.address;
             place.address = member.address.or(place.address);
             if moved {
-                self.places.retire(at);
+                self.endpoints.retire(at);
                 self.withhold_all(at);
             }
             if member.condition == Condition::Deleted {
-                self.places.leaves(at);
+                self.endpoints.mark_unlisted(at);
             }
             entries.push(Entry {
                 endpoint: at,
@@ -839,8 +839,8 @@
             });
         }
         if scope == Scope::Complete {
-            let off = self.places.all().into_iter().filter(|at| !told.contains(at));
-            off.for_each(|at| self.places.leaves(at));
+            let off = self.endpoints.ids().into_iter().filter(|at| !told.contains(at));
+            off.for_each(|at| self.endpoints.mark_unlisted(at));
         }
         self.events.push(Event::Listed { scope, entries });
         // What is on the list anew is not known there as taken out.
@@ -849,7 +849,7 @@
 
     /// What the decisions are told of an endpoint that is over though the list goes on to name another one like it.
     fn deleted(&mut self, endpoint: EndpointId) -> Option<Entry> {
-        let place = self.places.get(endpoint)?;
+        let place = self.endpoints.get(endpoint)?;
         let (dest, kind, zone, units) = (place.dest, place.kind, place.zone, place.units);
         let dest = DestId(self.dests.place(&dest));
         Some(Entry { endpoint, dest, kind, zone, units, condition: Condition::Deleted })
@@ -859,7 +859,7 @@
     fn withhold_all(&mut self, endpoint: EndpointId) {
         let out = self.out.iter().filter(|(_, to)| **to == endpoint);
         for submit in out.map(|(submit, _)| *submit).collect::<Vec<_>>() {
-            self.places.ask(endpoint, peer::Ask::Withhold(submit));
+            self.endpoints.send_to_peers(endpoint, peer::Ask::Withhold(submit));
         }
     }
 
@@ -877,7 +877,7 @@
                         log!("a submit for a text that is not at hand is dropped");
                         continue;
                     };
-                    let kind = self.places.get(endpoint).map_or(0, |place| place.kind.0);
+                    let kind = self.endpoints.get(endpoint).map_or(0, |place| place.kind.0);
                     let most = self.texts_per_call.get(kind).copied().unwrap_or(1);
                     let open = calls.iter_mut().rev().find(|(to, _)| *to == endpoint);
                     match open.filter(|(_, call)| call.parts.len() < most) {
@@ -923,9 +923,9 @@
             if written { self.carry(endpoint, call) } else { self.not_sent(endpoint, call) }
         }
         for (endpoint, ask) in asks {
-            self.places.ask(endpoint, ask);
+            self.endpoints.send_to_peers(endpoint, ask);
         }
-        self.places.ask_again();
+        self.endpoints.resend_queued();
     }
 
     fn submit(
@@ -946,8 +946,8 @@
             by: at + duration(time_out),
             leave_by: at + duration(leave_by.since(now)),
         };
-        let place = self.places.get(endpoint)?;
-        place.out += 1;
+        let place = self.endpoints.get(endpoint)?;
+        place.in_flight += 1;
         let zone = self.site.zones.name(place.zone.0);
         self.wal.submitted(text.0, now, zone);
         self.out.insert((text, part.submit), endpoint);
@@ -961,7 +961,7 @@
     fn log_outcome(&mut self, outcome: &Outcome) {
         let Some(owed) = self.wal.owed().get(&outcome.text.0) else { return };
         let (id, submit, ms) = (&owed.info.id, outcome.submit, outcome.latency.as_millis());
-        let endpoint = self.places.get(outcome.endpoint).map(|place| place.name.as_str());
+        let endpoint = self.endpoints.get(outcome.endpoint).map(|place| place.name.as_str());
         log_request!(id, submit, endpoint:?, reason:? = outcome.verdict, in_doubt = outcome.in_doubt, ms; "call ended");
     }
 
@@ -1046,7 +1046,7 @@
     }
 
     fn carry(&mut self, endpoint: EndpointId, call: Call) {
-        let Some(place) = self.places.get(endpoint) else { return self.not_sent(endpoint, call) };
+        let Some(place) = self.endpoints.get(endpoint) else { return self.not_sent(endpoint, call) };
         if place.peer.is_none()
             && let Some(address) = place.address
         {
@@ -1069,15 +1069,15 @@
         }
     }
 
-    fn came_back(&mut self, text: TextId, submit: usize) {
-        let place = self.out.remove(&(text, submit)).and_then(|endpoint| self.places.get(endpoint));
-        place.into_iter().for_each(|place| place.came_back());
+    fn submit_ended(&mut self, text: TextId, submit: usize) {
+        let place = self.out.remove(&(text, submit)).and_then(|endpoint| self.endpoints.get(endpoint));
+        place.into_iter().for_each(|place| place.submit_ended());
     }
 
     /// The submits count, as the decisions have it, but nothing left.
     fn not_sent(&mut self, endpoint: EndpointId, call: Call) {
         for part in call.into_parts() {
-            self.came_back(part.text, part.submit);
+            self.submit_ended(part.text, part.submit);
             self.wal.never_ran(part.text.0, part.submit);
             self.counters.not_sent.add(1);
             self.events.push(Event::Outcome(Outcome {
--- a/crates/sender/tests/sender/crossings.rs
+++ b/crates/sender/tests/sender/crossings.rs
@@ -7,9 +7,9 @@
 use indigomast_sender::clock::Clock;
 use indigomast_sender::config::{Config, InForce};
 use indigomast_sender::decider::Message;
+use indigomast_sender::endpoint_table::EndpointTable;
 use indigomast_sender::list::{self, List, Listed, Source, Teller};
 use indigomast_sender::peer::Ask;
-use indigomast_sender::places::Places;
 use indigomast_sender::platform::Platform;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -90,16 +90,16 @@
 /// very list still reaches whoever has it, or the call would leave long after its grace.
 #[test]
 fn what_is_decided_on_a_list_reaches_the_calls_of_an_endpoint_that_left_it() {
-    let mut places = Places::default();
-    let at = places.put(&listed("e0")).0;
+    let mut places = EndpointTable::default();
+    let at = places.upsert(&listed("e0")).0;
     let (peer, asks) = bounded(8);
     let place = places.get(at).expect("put");
-    (place.peer, place.out) = (Some(peer), 1);
-    places.leaves(at);
-    places.ask(at, Ask::Withhold((TextId(7), 0)));
+    (place.peer, place.in_flight) = (Some(peer), 1);
+    places.mark_unlisted(at);
+    places.send_to_peers(at, Ask::Withhold((TextId(7), 0)));
     assert!(matches!(asks.try_recv(), Ok(Ask::Retire)));
     assert!(matches!(asks.try_recv(), Ok(Ask::Withhold((TextId(7), 0)))));
-    places.get(at).expect("there").came_back();
+    places.get(at).expect("there").submit_ended();
     assert!(
         matches!(asks.try_recv(), Err(crossbeam_channel::TryRecvError::Disconnected)),
         "nothing is out any more"
@@ -109,15 +109,15 @@
 /// A mailbox is full at the moment of a drain, and the end of the connections is asked for at that moment too.
 #[test]
 fn a_full_mailbox_loses_neither_a_drain_nor_the_end_of_connections() {
-    let mut places = Places::default();
-    let at = places.put(&listed("e0")).0;
+    let mut places = EndpointTable::default();
+    let at = places.upsert(&listed("e0")).0;
     let (peer, asks) = bounded(1);
     peer.send(Ask::CloseIdle).expect("there is room for one");
     let place = places.get(at).expect("put");
-    (place.peer, place.out) = (Some(peer), 1);
-    places.ask(at, Ask::Withhold((TextId(0), 0)));
-    places.leaves(at);
-    places.ask(at, Ask::Revoke((TextId(0), 0)));
+    (place.peer, place.in_flight) = (Some(peer), 1);
+    places.send_to_peers(at, Ask::Withhold((TextId(0), 0)));
+    places.mark_unlisted(at);
+    places.send_to_peers(at, Ask::Revoke((TextId(0), 0)));
     let mut heard = Vec::new();
     for _ in 0..4 {
         heard.push(match asks.try_recv() {
@@ -127,7 +127,7 @@
             Ok(Ask::Revoke(_)) => "revoke",
             _ => "nothing",
         });
-        places.ask_again();
+        places.resend_queued();
     }
     assert_eq!(heard, ["idle", "withhold", "retire", "revoke"]);
 }
--- a/crates/sender/tests/sender/parts.rs
+++ b/crates/sender/tests/sender/parts.rs
@@ -10,13 +10,13 @@
 use indigomast_sender::config::{Config, InForce};
 use indigomast_sender::counters::Counters;
 use indigomast_sender::decider::{Admission, Decider, HandIn, Message, reconcile_products};
+use indigomast_sender::endpoint_table::EndpointTable;
 use indigomast_sender::http::{self, Rejection};
 use indigomast_sender::limits::Limits;
 use indigomast_sender::link::Link;
 use indigomast_sender::list::Listed;
 use indigomast_sender::notices::Notice;
 use indigomast_sender::peer::{Ask, Peer, Trunk};
-use indigomast_sender::places::Places;
 use indigomast_sender::ring::Ring;
 use indigomast_sender::wal::{TextInfo, Wal};
 use std::io::Write;
@@ -135,21 +135,22 @@
         units: 1.0,
         condition: Condition::Running,
     };
-    let mut places = Places::default();
-    let [stays, busy, back, gone] = ["stays", "busy", "back", "gone"].map(|name| places.put(&member(name)).0);
-    places.get(busy).expect("put").out = 1;
-    [busy, back, gone].into_iter().for_each(|at| places.leaves(at));
-    assert_eq!(places.put(&member("back")).0, back, "still known");
-    places.forget(Duration::from_secs(60));
+    let mut places = EndpointTable::default();
+    let [stays, busy, back, gone] =
+        ["stays", "busy", "back", "gone"].map(|name| places.upsert(&member(name)).0);
+    places.get(busy).expect("put").in_flight = 1;
+    [busy, back, gone].into_iter().for_each(|at| places.mark_unlisted(at));
+    assert_eq!(places.upsert(&member("back")).0, back, "still known");
+    places.remove_expired(Duration::from_secs(60));
     assert_eq!(places.len(), 4, "not yet");
     thread::sleep(Duration::from_millis(2));
-    places.forget(Duration::from_millis(1));
+    places.remove_expired(Duration::from_millis(1));
     assert!(places.get(gone).is_none());
     assert!([stays, busy, back].into_iter().all(|at| places.get(at).is_some()));
-    assert!(places.put(&member("gone")).0 > gone, "an index never comes twice");
-    places.get(busy).expect("still there").out = 0;
+    assert!(places.upsert(&member("gone")).0 > gone, "an index never comes twice");
+    places.get(busy).expect("still there").in_flight = 0;
     thread::sleep(Duration::from_millis(2));
-    places.forget(Duration::from_millis(1));
+    places.remove_expired(Duration::from_millis(1));
     assert!(places.get(busy).is_none());
 }
 
