--- a/crates/scale/src/roles/owed.rs
+++ b/crates/scale/src/roles/owed.rs
@@ -9,8 +9,8 @@
 use indigomast::api::*;
 use indigomast::time::{Moment, Span};
 use indigomast_journal::{Simulated, Store};
-use indigomast_sender::ids::Ids;
 use indigomast_sender::limits::{Grant, Limits};
+use indigomast_sender::request_ids::RequestIds;
 use indigomast_sender::wal::{TextInfo, Wal};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -57,9 +57,9 @@
         let (wal_bytes, wal_micros) = (meter.bytes_since(empty), meter.micros_since(empty));
 
         let before = meter.mark();
-        let mut ids = Ids::default();
+        let mut ids = RequestIds::default();
         for (text, owed) in wal.owed() {
-            ids.put(owed.info.id.clone(), TextId(*text), owed.info.form(&owed.body), true);
+            ids.insert(owed.info.id.clone(), TextId(*text), owed.info.form(&owed.body), true);
         }
         let id_bytes = meter.bytes_since(before);
 
@@ -91,7 +91,7 @@
             hollow.passes(LATENCY);
             for one in &out {
                 if let Some(owed) = wal.owed().get(&one.text.0) {
-                    ids.over(&owed.info.id);
+                    ids.mark_finished(&owed.info.id);
                 }
                 wal.ended(one.text.0, None);
                 numbers.remove(&one.text);
--- a/crates/sender/src/decider.rs
+++ b/crates/sender/src/decider.rs
@@ -8,14 +8,14 @@
 use crate::endpoint_table::EndpointTable;
 use crate::figures::{Ends, Figures};
 use crate::handover::{HandoverState, Watch};
-use crate::ids::Ids;
 use crate::intake::Intake;
-use crate::keys::Keys;
 use crate::limits::Limits;
 use crate::list::{self, Listed, Listing};
 use crate::list_file::ListKeeper;
 use crate::notices::Notice;
+use crate::ordering_keys::OrderingKeys;
 use crate::peer::{self, Peer, Trunk};
+use crate::request_ids::RequestIds;
 use crate::terms::{self, Table};
 use crate::wal::{self, Kept, Report, TextInfo, Wal};
 use crate::{log, log_account, log_decision, log_request, log_state, threads};
@@ -181,9 +181,9 @@
     rules: Rules,
     texts_per_call: Vec<usize>,
     endpoints: EndpointTable,
-    ids: Ids,
+    ids: RequestIds,
     dests: Names<u64>,
-    keys: Keys,
+    keys: OrderingKeys,
     gates: BTreeMap<String, VecDeque<(TextId, Gate)>>,
     /// Submits without an outcome.
     out: BTreeMap<(TextId, usize), EndpointId>,
@@ -235,14 +235,20 @@
                 (
                     Rules::successor(settings, seed, learnt),
                     EndpointTable::successor(endpoints, next_endpoint),
-                    Ids::successor(ids),
+                    RequestIds::successor(ids),
                     Names::of(dests),
-                    Keys::successor(keys, next_key),
+                    OrderingKeys::successor(keys, next_key),
                 )
             }
             None => {
                 let none = Names::of(Vec::new());
-                (Rules::new(settings, seed), EndpointTable::default(), Ids::default(), none, Keys::default())
+                (
+                    Rules::new(settings, seed),
+                    EndpointTable::default(),
+                    RequestIds::default(),
+                    none,
+                    OrderingKeys::default(),
+                )
             }
         };
         let mut desk = Desk {
@@ -317,9 +323,9 @@
                 _ => 1,
             });
             heard.into_iter().for_each(|word| self.hear(word));
-            self.keys.forget(self.limits.key_rest);
+            self.keys.remove_expired(self.limits.key_rest);
             self.endpoints.remove_expired(self.limits.place_rest);
-            self.ids.forget(self.limits.id_rest, self.limits.texts);
+            self.ids.remove_expired(self.limits.id_rest, self.limits.texts);
             let now = self.clock.now();
             if self.wake.is_none_or(|at| at <= now) {
                 self.events.push(Event::Woken);
@@ -399,7 +405,7 @@
     /// All that the next owner has to know beside the journal.
     fn handover_state(&self) -> HandoverState {
         let (endpoints, next_endpoint) = self.endpoints.snapshot();
-        let (keys, next_key) = self.keys.left();
+        let (keys, next_key) = self.keys.snapshot();
         let names = |names: &Names<String>| (0..names.len()).map(|at| names.name(at).clone()).collect();
         HandoverState {
             kinds: names(&self.site.kinds),
@@ -410,7 +416,7 @@
             dests: (0..self.dests.len()).map(|at| *self.dests.name(at)).collect(),
             keys,
             next_key,
-            ids: self.ids.left(),
+            ids: self.ids.finished(),
             learnt: self.rules.learnt(),
         }
     }
@@ -523,7 +529,7 @@
                         _ => ends.deferred.add(1),
                     }
                     self.wal.reported(text.0);
-                    self.ids.over(&id);
+                    self.ids.mark_finished(&id);
                     self.pass_gate(text, key.as_deref(), None);
                     if let Some(key) = key {
                         self.keys.release(&key);
@@ -651,7 +657,7 @@
         let full = self.wal.held() >= self.site.info.ceilings.most_held || late;
         let form = info.form(&body);
         if let Some(known) = self.ids.get(&info.id) {
-            if known.form != form {
+            if known.checksum != form {
                 self.counters.conflicts.add(1);
                 // Where this sender was slow, a stranger's text may have come in under the id of a client's own before
                 // that one was read: passed on, it would be void, and so would be all that travels with it. While
@@ -699,10 +705,10 @@
             _ = reply.try_send(Admission::Full);
             return;
         };
-        self.ids.put(id, text, form, proven);
+        self.ids.insert(id, text, form, proven);
         self.unheard.insert(text, Vec::new());
         if let Some(key) = key {
-            self.keys.place(&key);
+            self.keys.acquire(&key);
             self.gates.entry(key).or_default().push_back((text, Gate::Shut));
         }
         self.replies.push((text, reply));
@@ -758,7 +764,7 @@
     /// Nothing more is owed for a text, nor has a report to go.
     fn over(&mut self, text: TextId) {
         if let Some(owed) = self.wal.owed().get(&text.0) {
-            self.ids.over(&owed.info.id);
+            self.ids.mark_finished(&owed.info.id);
             if let Some(key) = &owed.info.key {
                 self.keys.release(key);
             }
@@ -775,9 +781,9 @@
                 self.wal.ended(text.0, Some(Report::Undeliverable));
             }
             self.counters.resumed.add(1);
-            self.ids.put(info.id.clone(), text, info.form(&owed.body), true);
+            self.ids.insert(info.id.clone(), text, info.form(&owed.body), true);
             if let Some(key) = &info.key {
-                self.keys.place(key);
+                self.keys.acquire(key);
                 self.gates.entry(key.clone()).or_default().push_back((text, Gate::Shut));
             }
             match self.wal.owed().get(&text.0).and_then(|owed| owed.report) {
--- a/crates/sender/src/keys.rs
+++ b/crates/sender/src/ordering_keys.rs
@@ -6,33 +6,34 @@
 
 /// Keys as indices, forgotten once no text has them; an index never comes twice.
 #[derive(Default)]
-pub struct Keys {
-    known: BTreeMap<String, Known>,
+pub struct OrderingKeys {
+    known: BTreeMap<String, KnownKey>,
     next: usize,
     /// Keys left without texts, which the decisions may still let rest.
     idle: VecDeque<(Instant, String)>,
 }
 
-struct Known {
+struct KnownKey {
     id: KeyId,
     texts: usize,
     idle_since: Instant,
 }
 
-impl Keys {
+impl OrderingKeys {
     /// Those of the process before, under their indices.
-    pub fn successor(left: Vec<(String, usize)>, next: usize) -> Keys {
+    pub fn successor(snapshot: Vec<(String, usize)>, next: usize) -> OrderingKeys {
         let idle_since = Instant::now();
-        let idle = left.iter().map(|(key, _)| (idle_since, key.clone())).collect();
-        let known = left.into_iter().map(|(key, id)| (key, Known { id: KeyId(id), texts: 0, idle_since }));
-        Keys { known: known.collect(), next, idle }
+        let idle = snapshot.iter().map(|(key, _)| (idle_since, key.clone())).collect();
+        let known =
+            snapshot.into_iter().map(|(key, id)| (key, KnownKey { id: KeyId(id), texts: 0, idle_since }));
+        OrderingKeys { known: known.collect(), next, idle }
     }
 
     /// One more text has this key.
-    pub fn place(&mut self, key: &str) -> KeyId {
+    pub fn acquire(&mut self, key: &str) -> KeyId {
         let known = self.known.entry(key.to_owned()).or_insert_with(|| {
             self.next += 1;
-            Known { id: KeyId(self.next - 1), texts: 0, idle_since: Instant::now() }
+            KnownKey { id: KeyId(self.next - 1), texts: 0, idle_since: Instant::now() }
         });
         known.texts += 1;
         known.id
@@ -50,7 +51,7 @@
     }
 
     /// Forgets those that no text has had for so long.
-    pub fn forget(&mut self, after: Duration) {
+    pub fn remove_expired(&mut self, after: Duration) {
         while self.idle.front().is_some_and(|(since, _)| since.elapsed() > after) {
             let (since, key) = self.idle.pop_front().expect("looked at");
             if self.known.get(&key).is_some_and(|known| known.texts == 0 && known.idle_since == since) {
@@ -65,7 +66,7 @@
     }
 
     /// All of them and the next index, for the process that takes this one's place.
-    pub fn left(&self) -> (Vec<(String, usize)>, usize) {
+    pub fn snapshot(&self) -> (Vec<(String, usize)>, usize) {
         (self.known.iter().map(|(key, known)| (key.clone(), known.id.0)).collect(), self.next)
     }
 }
--- a/crates/sender/src/ids.rs
+++ b/crates/sender/src/request_ids.rs
@@ -6,11 +6,11 @@
 
 /// What an id stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Known {
+pub struct KnownId {
     /// None of one that is over.
     pub text: Option<TextId>,
     /// A checksum of all that is passed on: another form under the same id is another text.
-    pub form: u32,
+    pub checksum: u32,
     /// It came on a connection that had handed in texts before.
     pub proven: bool,
 }
@@ -18,18 +18,18 @@
 /// A client whose request crossed the end of its connection sends it once more, and the text may be over by then:
 /// it must not be taken for a new one and run again.
 #[derive(Default)]
-pub struct Ids {
-    known: BTreeMap<String, Known>,
-    over: VecDeque<(Instant, String)>,
+pub struct RequestIds {
+    known: BTreeMap<String, KnownId>,
+    finished: VecDeque<(Instant, String)>,
 }
 
-impl Ids {
-    pub fn put(&mut self, id: String, text: TextId, form: u32, proven: bool) {
-        self.known.insert(id, Known { text: Some(text), form, proven });
+impl RequestIds {
+    pub fn insert(&mut self, id: String, text: TextId, checksum: u32, proven: bool) {
+        self.known.insert(id, KnownId { text: Some(text), checksum, proven });
     }
 
     /// What an id stands for; nothing where it is new.
-    pub fn get(&self, id: &str) -> Option<Known> {
+    pub fn get(&self, id: &str) -> Option<KnownId> {
         self.known.get(id).copied()
     }
 
@@ -38,38 +38,40 @@
         self.known.remove(id);
     }
 
-    pub fn over(&mut self, id: &str) {
+    pub fn mark_finished(&mut self, id: &str) {
         if let Some(known) = self.known.get_mut(id)
             && known.text.take().is_some()
         {
-            self.over.push_back((Instant::now(), id.to_owned()));
+            self.finished.push_back((Instant::now(), id.to_owned()));
         }
     }
 
     /// Those that are over, for the process that takes this one's place: form, whether proven, and for how long.
-    pub fn left(&self) -> Vec<(String, u32, bool, f64)> {
-        let over = self.over.iter().filter_map(|(since, id)| {
+    pub fn finished(&self) -> Vec<(String, u32, bool, f64)> {
+        let finished = self.finished.iter().filter_map(|(since, id)| {
             let known = self.known.get(id).filter(|known| known.text.is_none())?;
-            Some((id.clone(), known.form, known.proven, since.elapsed().as_secs_f64() * 1000.0))
+            Some((id.clone(), known.checksum, known.proven, since.elapsed().as_secs_f64() * 1000.0))
         });
-        over.collect()
+        finished.collect()
     }
 
-    pub fn successor(left: Vec<(String, u32, bool, f64)>) -> Ids {
-        let mut ids = Ids::default();
+    pub fn successor(left: Vec<(String, u32, bool, f64)>) -> RequestIds {
+        let mut ids = RequestIds::default();
         let now = Instant::now();
-        for (id, form, proven, ms) in left {
+        for (id, checksum, proven, ms) in left {
             let since = Duration::try_from_secs_f64(ms / 1000.0).ok().and_then(|ago| now.checked_sub(ago));
-            ids.known.insert(id.clone(), Known { text: None, form, proven });
-            ids.over.push_back((since.unwrap_or(now), id));
+            ids.known.insert(id.clone(), KnownId { text: None, checksum, proven });
+            ids.finished.push_back((since.unwrap_or(now), id));
         }
         ids
     }
 
     /// Forgets those that have been over for long, or that are too many.
-    pub fn forget(&mut self, after: Duration, most: usize) {
-        while self.over.front().is_some_and(|(since, _)| since.elapsed() > after) || self.over.len() > most {
-            let (_, id) = self.over.pop_front().expect("looked at");
+    pub fn remove_expired(&mut self, after: Duration, most: usize) {
+        while self.finished.front().is_some_and(|(since, _)| since.elapsed() > after)
+            || self.finished.len() > most
+        {
+            let (_, id) = self.finished.pop_front().expect("looked at");
             // It may have been taken anew since.
             if self.known.get(&id).is_some_and(|known| known.text.is_none()) {
                 self.known.remove(&id);
