--- a/crates/scale/src/roles/products.rs
+++ b/crates/scale/src/roles/products.rs
@@ -7,7 +7,7 @@
 use indigomast::api::Event;
 use indigomast_sender::config::Site;
 use indigomast_sender::figures::Figures;
-use indigomast_sender::terms::Table;
+use indigomast_sender::product_table::ProductTable;
 use indigomast_site::{BootInfo, read};
 
 pub struct Products;
@@ -35,8 +35,8 @@
         let before = meter.mark();
         let info: BootInfo = read(&text)?;
         let site = Site::of(info)?;
-        let mut table = Table::default();
-        table.take(&site.info);
+        let mut table = ProductTable::default();
+        table.add_from(&site.info);
         let taken = meter.micros_since(before);
         let bytes = meter.bytes_since(before);
         let mut hollow = Hollow::new(site.info.decode(), seed);
--- a/crates/sender/src/decider.rs
+++ b/crates/sender/src/decider.rs
@@ -15,8 +15,8 @@
 use crate::notices::Notice;
 use crate::ordering_keys::OrderingKeys;
 use crate::peer::{self, Peer, Trunk};
+use crate::product_table::{self, ProductTable};
 use crate::request_ids::RequestIds;
-use crate::terms::{self, Table};
 use crate::wal::{self, Kept, Report, TextInfo, Wal};
 use crate::{log, log_account, log_decision, log_request, log_state, threads};
 use crossbeam_channel::{Receiver, Sender, bounded};
@@ -95,7 +95,7 @@
 
 /// Brings the terms that the journal knows and those of the settings together, before anything is taken on under them.
 /// Terms that nothing at hand has any more are forgotten.
-pub fn reconcile_products(wal: &mut Wal, site: &mut Site, figures: &Figures) -> Table {
+pub fn reconcile_products(wal: &mut Wal, site: &mut Site, figures: &Figures) -> ProductTable {
     let known = |wal: &Wal| {
         let rows = wal.kept().filter_map(|kept| match kept {
             Kept::Terms { reference, terms } => Some((reference.clone(), terms.clone())),
@@ -103,15 +103,15 @@
         });
         rows.collect::<Vec<_>>()
     };
-    let mut all = Table::new(known(wal));
-    let in_force: BTreeSet<usize> = all.take(&site.info).into_iter().map(|product| product.0).collect();
+    let mut all = ProductTable::new(known(wal));
+    let in_force: BTreeSet<usize> = all.add_from(&site.info).into_iter().map(|product| product.0).collect();
     let owed: BTreeSet<String> = wal.owed().values().map(|owed| owed.info.product.clone()).collect();
     let wanted = |reference: &str| {
         owed.contains(reference) || all.find(reference).is_some_and(|product| in_force.contains(&product.0))
     };
     wal.drop_kept(|kept| matches!(kept, Kept::Terms { reference, .. } if !wanted(reference)));
-    let mut table = Table::new(known(wal));
-    let products = table.take(&site.info);
+    let mut table = ProductTable::new(known(wal));
+    let products = table.add_from(&site.info);
     for (reference, terms) in table.rows() {
         if !wal.keep(Kept::Terms { reference: reference.clone(), terms: terms.clone() }) {
             log!("the journal has no room for what {reference} stands for");
@@ -121,7 +121,7 @@
     table
 }
 
-fn name_products(site: &mut Site, table: &Table, products: &[ProductId], figures: &Figures) {
+fn name_products(site: &mut Site, table: &ProductTable, products: &[ProductId], figures: &Figures) {
     let rows = || products.iter().map(|product| table.row(*product));
     site.references = rows().map(|(reference, _)| reference.clone()).collect();
     site.ends = rows().map(|(_, terms)| figures.product(&terms.name)).collect();
@@ -142,7 +142,7 @@
     pub counters: Arc<Counters>,
     pub figures: Arc<Figures>,
     pub site: Arc<InForce>,
-    pub table: Table,
+    pub table: ProductTable,
     pub trunk: Arc<Trunk>,
     pub list: Sender<list::Ask>,
     pub notices: Sender<Notice>,
@@ -171,7 +171,7 @@
     figures: Arc<Figures>,
     site: Arc<Site>,
     in_force: Arc<InForce>,
-    table: Table,
+    table: ProductTable,
     /// By product, as the decisions number them.
     ends: Vec<Arc<Ends>>,
     trunk: Arc<Trunk>,
@@ -547,7 +547,7 @@
     fn ends_of(&self, reference: &str) -> Arc<Ends> {
         match self.table.find(reference) {
             Some(product) => Arc::clone(&self.ends[product.0]),
-            None => self.figures.product(terms::name_of(reference)),
+            None => self.figures.product(product_table::product_name(reference)),
         }
     }
 
@@ -618,7 +618,7 @@
     fn change(&mut self, change: SettingsChange) {
         let SettingsChange { mut site, reply } = change;
         let before = self.table.len();
-        let products = self.table.take(&site.info);
+        let products = self.table.add_from(&site.info);
         let rows: Vec<Kept> = self.table.rows()[before..]
             .iter()
             .map(|(reference, terms)| Kept::Terms { reference: reference.clone(), terms: terms.clone() })
@@ -626,7 +626,7 @@
         let kept = self.table.len() <= self.limits.terms && rows.iter().all(|row| self.wal.keep(row.clone()));
         if !kept || !self.flush() {
             rows.iter().for_each(|row| self.wal.forget_kept(row));
-            self.table.cut_back(before);
+            self.table.truncate(before);
             _ = reply.try_send(Err("the journal has no room for other terms".into()));
             return;
         }
--- a/crates/sender/src/terms.rs
+++ b/crates/sender/src/product_table.rs
@@ -1,7 +1,7 @@
 //! Terms of products: what a product's name stood for when a text was taken on under it.
 //!
 //! Settings change while texts are at hand, and each text keeps the terms under which it was taken on, also in the next
-//! life. So a text carries a reference, not a name: the name alone as long as a product has always had the same terms,
+//! life. So a text carries a reference, not a name: the name alone as long as a product has always had the same settings,
 //! and the name with a number behind it once they changed. A reference never changes its meaning, nor does the index that
 //! the decisions have of it; both are forgotten at a start at which no text has them.
 
@@ -15,7 +15,7 @@
 const MARK: char = '/';
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Terms {
+pub struct ProductSettings {
     pub name: String,
     sla_ms: f64,
     /// Of a referenced product the memory, and whether only one zone has it.
@@ -25,9 +25,9 @@
     submits: usize,
 }
 
-impl Terms {
-    fn of(name: &str, product: &Product) -> Terms {
-        Terms {
+impl ProductSettings {
+    fn of(name: &str, product: &Product) -> ProductSettings {
+        ProductSettings {
             name: name.to_owned(),
             sla_ms: product.sla_time.as_millis(),
             once_only: product.repeat == Repeat::OnceOnly,
@@ -56,24 +56,24 @@
 
 /// All terms that texts at hand may have, each at the index that the decisions know it by.
 #[derive(Default)]
-pub struct Table {
-    rows: Vec<(String, Terms)>,
+pub struct ProductTable {
+    rows: Vec<(String, ProductSettings)>,
     /// Looked up with every text.
     index: BTreeMap<String, usize>,
 }
 
-impl Table {
-    pub fn new(rows: Vec<(String, Terms)>) -> Table {
+impl ProductTable {
+    pub fn new(rows: Vec<(String, ProductSettings)>) -> ProductTable {
         let index = rows.iter().enumerate().map(|(at, (reference, _))| (reference.clone(), at)).collect();
-        Table { rows, index }
+        ProductTable { rows, index }
     }
 
     /// Takes the products of settings that are put in force; the index of each, in their order.
-    pub fn take(&mut self, info: &BootInfo) -> Vec<ProductId> {
+    pub fn add_from(&mut self, info: &BootInfo) -> Vec<ProductId> {
         let products = info.decode().products;
         let taken = info.categories.iter().zip(&products).map(|(category, product)| {
-            let terms = Terms::of(&category.name, product);
-            if let Some(at) = self.rows.iter().position(|(_, row)| *row == terms) {
+            let settings = ProductSettings::of(&category.name, product);
+            if let Some(at) = self.rows.iter().position(|(_, row)| *row == settings) {
                 return ProductId(at);
             }
             let numbers = self.rows.iter().filter(|(_, row)| row.name == category.name);
@@ -83,7 +83,7 @@
                 None => category.name.clone(),
             };
             self.index.insert(reference.clone(), self.rows.len());
-            self.rows.push((reference, terms));
+            self.rows.push((reference, settings));
             ProductId(self.rows.len() - 1)
         });
         taken.collect()
@@ -101,23 +101,23 @@
         self.index.get(reference).copied().map(ProductId)
     }
 
-    pub fn row(&self, at: ProductId) -> &(String, Terms) {
+    pub fn row(&self, at: ProductId) -> &(String, ProductSettings) {
         &self.rows[at.0]
     }
 
-    pub fn rows(&self) -> &[(String, Terms)] {
+    pub fn rows(&self) -> &[(String, ProductSettings)] {
         &self.rows
     }
 
     /// As many as the table had at that length.
-    pub fn cut_back(&mut self, length: usize) {
+    pub fn truncate(&mut self, length: usize) {
         self.rows.truncate(length);
         self.index.retain(|_, at| *at < length);
     }
 
     /// What the decisions read, by index.
     pub fn products(&self) -> Vec<Product> {
-        self.rows.iter().map(|(_, terms)| terms.product()).collect()
+        self.rows.iter().map(|(_, settings)| settings.product()).collect()
     }
 }
 
@@ -129,6 +129,6 @@
 }
 
 /// The name of the product that a reference is of.
-pub fn name_of(reference: &str) -> &str {
+pub fn product_name(reference: &str) -> &str {
     reference.split(MARK).next().unwrap_or(reference)
 }
--- a/crates/sender/src/wal.rs
+++ b/crates/sender/src/wal.rs
@@ -6,7 +6,7 @@
 
 use crate::limits::Limits;
 use crate::log;
-use crate::terms::Terms;
+use crate::product_table::ProductSettings;
 use crate::texts_log::{self, Carried};
 use indigomast::api::Past;
 use indigomast::time::Moment;
@@ -54,7 +54,7 @@
     pub fn form(&self, body: &[u8]) -> u32 {
         let mut sum = crc32fast::Hasher::new();
         // Its terms may have changed between two tries of a client.
-        let product = crate::terms::name_of(&self.product);
+        let product = crate::product_table::product_name(&self.product);
         let parts = [Some(product), self.mark.as_deref(), self.key.as_deref()];
         for part in parts {
             // Lengths keep "a" "bc" from passing for "ab" "c".
@@ -180,7 +180,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Kept {
     /// What a product's name in texts stands for.
-    Terms { reference: String, terms: Terms },
+    Terms { reference: String, terms: ProductSettings },
     /// Operators took this endpoint out and have not given it back.
     Out { endpoint: String },
 }
