--- a/crates/sender/src/decider.rs
+++ b/crates/sender/src/decider.rs
@@ -7,7 +7,7 @@
 use crate::counters::Counters;
 use crate::endpoint_table::EndpointTable;
 use crate::figures::{Ends, Figures};
-use crate::handover::{HandoverState, Watch};
+use crate::handover::{HandoverState, SuccessorWatch};
 use crate::intake::Intake;
 use crate::limits::Limits;
 use crate::list::{self, Listed, Listing};
@@ -158,7 +158,7 @@
 /// What it takes to let another process take over.
 pub struct Handover {
     pub folder: PathBuf,
-    pub watch: Watch,
+    pub watch: SuccessorWatch,
     pub machine: Incumbent,
     pub intake: Arc<Intake>,
 }
@@ -354,7 +354,7 @@
     fn hands_over(&mut self, words: &Receiver<Message>) -> bool {
         let now = self.clock.now();
         let Some(Handover { watch, machine, intake, folder }) = &mut self.handover else { return false };
-        let asked = watch.asked();
+        let asked = watch.successor_waits();
         let heard = machine.is_leaving() && intake.all_heard();
         let mut step = machine.step(now, Seen { asked, out: !self.out.is_empty(), heard });
         if step == Some(Step::Leave) {
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -16,12 +16,12 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-const NEXT: &str = "next";
+const SUCCESSOR_LOCK_FILE: &str = "next";
 // The file keeps the name that earlier versions look for.
 const STATE_FILE: &str = "estate";
 
 /// Before the checksum: which form the rest has. A successor of another form starts as after a kill.
-const FORM: u32 = 1;
+const FORMAT: u32 = 1;
 
 /// The socket for clients that whoever starts processes holds for all of them.
 ///
@@ -45,44 +45,44 @@
 }
 
 /// The lock by which a successor says that it waits. Given back when it is dropped, or by the end of the process.
-pub struct Asking(#[expect(dead_code, reason = "held, not read")] File);
+pub struct SuccessorLock(#[expect(dead_code, reason = "held, not read")] File);
 
 fn next_file(folder: &Path) -> io::Result<File> {
-    OpenOptions::new().create(true).truncate(false).write(true).open(folder.join(NEXT))
+    OpenOptions::new().create(true).truncate(false).write(true).open(folder.join(SUCCESSOR_LOCK_FILE))
 }
 
-impl Asking {
+impl SuccessorLock {
     /// `None` while another waits, or while the owner looks.
-    pub fn begin(folder: &Path) -> io::Result<Option<Asking>> {
+    pub fn try_acquire(folder: &Path) -> io::Result<Option<SuccessorLock>> {
         let file = next_file(folder)?;
-        Ok(file.try_lock().is_ok().then_some(Asking(file)))
+        Ok(file.try_lock().is_ok().then_some(SuccessorLock(file)))
     }
 }
 
 /// The owner's look at that lock.
-pub struct Watch {
+pub struct SuccessorWatch {
     file: File,
-    beat: Duration,
-    looked: Option<Instant>,
-    asked: bool,
+    interval: Duration,
+    checked_at: Option<Instant>,
+    waiting: bool,
 }
 
-impl Watch {
-    pub fn new(folder: &Path, beat: Duration) -> io::Result<Watch> {
-        Ok(Watch { file: next_file(folder)?, beat, looked: None, asked: false })
+impl SuccessorWatch {
+    pub fn new(folder: &Path, interval: Duration) -> io::Result<SuccessorWatch> {
+        Ok(SuccessorWatch { file: next_file(folder)?, interval, checked_at: None, waiting: false })
     }
 
-    /// Whether a successor waits, as of the last look; one is taken every beat.
-    pub fn asked(&mut self) -> bool {
-        if self.looked.is_none_or(|looked| looked.elapsed() >= self.beat) {
-            self.looked = Some(Instant::now());
+    /// Whether a successor waits, as of the last look; one is taken every interval.
+    pub fn successor_waits(&mut self) -> bool {
+        if self.checked_at.is_none_or(|checked_at| checked_at.elapsed() >= self.interval) {
+            self.checked_at = Some(Instant::now());
             // Shared, so that it stands in nobody's way for longer than this.
-            self.asked = self.file.try_lock_shared().is_err();
-            if !self.asked {
+            self.waiting = self.file.try_lock_shared().is_err();
+            if !self.waiting {
                 _ = self.file.unlock();
             }
         }
-        self.asked
+        self.waiting
     }
 }
 
@@ -109,7 +109,7 @@
     /// Leaves it to the next owner.
     pub fn write(&self, folder: &Path) -> io::Result<()> {
         let payload = postcard::to_stdvec(self).map_err(io::Error::other)?;
-        let head = [FORM.to_le_bytes(), crc32fast::hash(&payload).to_le_bytes()].concat();
+        let head = [FORMAT.to_le_bytes(), crc32fast::hash(&payload).to_le_bytes()].concat();
         replace(folder, STATE_FILE, &[head, payload].concat(), Lasting::Process)
     }
 
@@ -121,7 +121,7 @@
         remove(path);
         let word = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
         let payload = bytes.get(8..)?;
-        (word(0)? == FORM && word(4)? == crc32fast::hash(payload)).then_some(())?;
+        (word(0)? == FORMAT && word(4)? == crc32fast::hash(payload)).then_some(())?;
         postcard::from_bytes(payload).ok()
     }
 }
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -317,7 +317,7 @@
         let intake = Arc::new(intake);
         let handover = match shared {
             true => Some(decider::Handover {
-                watch: handover::Watch::new(&state, limits.asked_beat).map_err(complain)?,
+                watch: handover::SuccessorWatch::new(&state, limits.asked_beat).map_err(complain)?,
                 machine: Incumbent::new(limits.handover),
                 intake: Arc::clone(&intake),
                 folder: state,
@@ -417,7 +417,7 @@
             opened => Some(opened.map_err(complain)?),
         };
         if asking.is_none() && owned.is_none() {
-            asking = handover::Asking::begin(state).map_err(complain)?;
+            asking = handover::SuccessorLock::try_acquire(state).map_err(complain)?;
         }
         let step = machine.step(clock.now(), owned.is_some());
         if let (Some(Move::Own), Some(wal)) = (step, owned) {
