--- a/crates/gateway/src/model.rs
+++ b/crates/gateway/src/model.rs
@@ -756,7 +756,7 @@
                 _ => (rate * share / 2.0).max(1.0),
             };
             let left = (self.tokens(dest, self.now) / most.max(1.0)).clamp(0.0, 1.0);
-            Allowance { share_left: left, calls_per_sec: rate * share }
+            Allowance { remaining_share: left, calls_per_sec: rate * share }
         });
         self.actions.push(Action::Answer { call, reply, allowance });
     }
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -82,8 +82,8 @@
 }
 
 /// The reports that an answer bears for a limit, as a header's value.
-pub fn load_report(share_left: f64, calls_per_sec: f64) -> String {
-    format!("x0={share_left:.3},x1={calls_per_sec:.3}")
+pub fn load_report(remaining_share: f64, calls_per_sec: f64) -> String {
+    format!("x0={remaining_share:.3},x1={calls_per_sec:.3}")
 }
 
 pub fn id_of(text: TextNo) -> String {
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -87,7 +87,7 @@
 const LOOKED_AT: usize = 64;
 
 struct Text {
-    handed: Handed,
+    handed: AcceptedText,
     submits: usize,
     doubt: Option<Moment>,
     out: bool,
@@ -164,7 +164,7 @@
         }
     }
 
-    fn taken(&mut self, handed: Handed, past: Past) {
+    fn taken(&mut self, handed: AcceptedText, past: SubmitHistory) {
         let id = handed.text;
         let ordered = self.settings.products[handed.product.0].in_order;
         if let Some(key) = handed.key.filter(|_| ordered) {
@@ -172,7 +172,7 @@
         }
         self.ends.insert((handed.valid_until - MARGIN, id));
         self.dests.entry(handed.dest).or_default().queue.insert((self.now, id));
-        let doubt = past.doubt.map(|(at, _)| at);
+        let doubt = past.first_in_doubt.map(|(at, _)| at);
         self.texts.insert(id, Text { handed, submits: past.submits, doubt, out: false, over: false });
         self.held += 1;
         if past.submits > 0 && !self.may_go(id) {
@@ -210,7 +210,7 @@
         let once = self.settings.products[text.handed.product.0].repeat == Repeat::OnceOnly;
         let harmless = !text.out && (!once || text.doubt.is_none());
         if harmless || self.style == Name::RetryAtOnce {
-            self.actions.push(Action::Nack { text: id, come_back_after: None });
+            self.actions.push(Action::Nack { text: id, retry_after: None });
         } else {
             self.actions.push(Action::Undeliverable { text: id });
         }
@@ -237,7 +237,7 @@
         let dest = self.dests.entry(dest_id).or_default();
         dest.out = dest.out.saturating_sub(1);
         self.out = self.out.saturating_sub(1);
-        if let Some(wait) = outcome.told_wait {
+        if let Some(wait) = outcome.retry_after {
             dest.wait_until = dest.wait_until.max(self.now + wait);
         }
         let Some(text) = self.texts.get_mut(&id) else { return };
@@ -249,7 +249,7 @@
             text.doubt.get_or_insert(self.now - outcome.latency);
             if let Some(key) = text.handed.key {
                 let line = self.lines.entry(key).or_default();
-                line.rest_until = self.now + self.settings.rest_after_doubt;
+                line.rest_until = self.now + self.settings.in_doubt_key_pause;
             }
         }
         if text.over {
@@ -317,13 +317,13 @@
                 let left = (text.handed.valid_until - CUT).since(self.now);
                 let sla = self.settings.products[text.handed.product.0].sla_time;
                 let time_out = if self.style == Name::OneTry { left } else { sla.min(left) };
-                let leave_by = text.handed.valid_until;
+                let send_deadline = text.handed.valid_until;
                 let shares_connection = false;
                 self.actions.push(Action::Submit {
                     text: entry.1,
                     endpoint,
                     time_out,
-                    leave_by,
+                    send_deadline,
                     shares_connection,
                 });
             }
@@ -336,11 +336,11 @@
         self.now = now;
         for event in events {
             match event {
-                Event::Listed { scope, entries } => self.listed(scope, entries),
-                Event::Taken(handed) => self.taken(handed, Past::default()),
+                Event::ListReceived { scope, entries } => self.listed(scope, entries),
+                Event::Accepted(handed) => self.taken(handed, SubmitHistory::default()),
                 Event::Resumed(handed, past) => self.taken(handed, past),
                 Event::Outcome(outcome) => self.outcome(outcome),
-                Event::Told(text) if self.texts.get(&text).is_some_and(|text| !text.out) => {
+                Event::EndReported(text) if self.texts.get(&text).is_some_and(|text| !text.out) => {
                     self.forget(text);
                 }
                 Event::Withdrawn(text) => self.forget(text),
--- a/crates/lab/src/simulated.rs
+++ b/crates/lab/src/simulated.rs
@@ -95,7 +95,7 @@
 #[derive(Clone)]
 struct Owed {
     number: TextNo,
-    handed: Handed,
+    handed: AcceptedText,
     submits: usize,
     /// Of each submit, whether it may have run.
     doubts: Vec<Option<Moment>>,
@@ -172,7 +172,7 @@
         policy,
         seed,
         net,
-        keeps: settings[0].keeps_alive,
+        keeps: settings[0].keep_alive,
         connect: Span::from_millis(scenario.rules.connect_ms),
         carriers: settings.iter().map(|_| Carrier::default()).collect(),
         settings,
@@ -346,13 +346,16 @@
         let mut again = Vec::new();
         let (revision, members) = self.world.listing();
         self.carriers[sender].revision = revision;
-        events.push(Event::Listed { scope: Scope::Complete, entries: entries(&members) });
+        events.push(Event::ListReceived { scope: Scope::Complete, entries: entries(&members) });
         for (id, owed) in &self.carriers[sender].owed {
             match owed.report {
                 Some(report) => again.push((*id, owed.number, report)),
                 None => {
-                    let doubt = owed.doubts.iter().flatten().min().map(|at| (*at, ZoneId(0)));
-                    events.push(Event::Resumed(owed.handed.clone(), Past { submits: owed.submits, doubt }));
+                    let first_in_doubt = owed.doubts.iter().flatten().min().map(|at| (*at, ZoneId(0)));
+                    events.push(Event::Resumed(
+                        owed.handed.clone(),
+                        SubmitHistory { submits: owed.submits, first_in_doubt },
+                    ));
                 }
             }
         }
@@ -398,13 +401,13 @@
                 let carrier = &mut self.carriers[sender];
                 if carrier.life == life && carrier.policy.is_some() {
                     carrier.owed.remove(&text);
-                    self.step(now, sender, vec![Event::Told(text)]);
+                    self.step(now, sender, vec![Event::EndReported(text)]);
                 }
             }
             Ev::Wake { sender, life, at } => {
                 let carrier = &self.carriers[sender];
                 if carrier.life == life && carrier.wake == Some(at) {
-                    self.step(now, sender, vec![Event::Woken]);
+                    self.step(now, sender, vec![Event::TimerFired]);
                 }
             }
             Ev::LinkIs { link, up } => {
@@ -426,7 +429,7 @@
                 let (verdict, wait, keeps) = match reply {
                     Reply::Done => (Verdict::Delivered, None, true),
                     Reply::Error => (Verdict::Error, None, true),
-                    Reply::Busy { wait } => (Verdict::Full, wait, true),
+                    Reply::Busy { wait } => (Verdict::Overloaded, wait, true),
                     Reply::Reset => (Verdict::Reset, None, false),
                     Reply::Spoilt => (Verdict::Error, None, false),
                 };
@@ -445,7 +448,7 @@
                 let (newest, changes) = self.world.changes_since(carrier.revision);
                 carrier.revision = newest;
                 self.world_step(now, vec![Seen::ListTold { sender, revision: newest }]);
-                let event = Event::Listed { scope: Scope::Partial, entries: entries(&changes) };
+                let event = Event::ListReceived { scope: Scope::Partial, entries: entries(&changes) };
                 self.step(now, sender, vec![event]);
             }
             Ev::Stopping { sender, life } => {
@@ -483,7 +486,7 @@
         carrier.next_text += 1;
         let next_key = KeyId(carrier.keys.len());
         let key = key.map(|key| *carrier.keys.entry(key).or_insert(next_key));
-        let handed = Handed {
+        let handed = AcceptedText {
             text: id,
             product: ProductId(product),
             dest: DestId(dest),
@@ -493,7 +496,7 @@
         let owed =
             Owed { number: text, handed: handed.clone(), submits: 0, doubts: Vec::new(), report: None };
         carrier.owed.insert(id, owed);
-        self.step(now, sender, vec![Event::Taken(handed)]);
+        self.step(now, sender, vec![Event::Accepted(handed)]);
     }
 
     fn step(&mut self, now: Moment, sender: usize, events: Vec<Event>) {
@@ -514,8 +517,8 @@
                         _ => calls.push((endpoint, vec![(text, time_out)])),
                     }
                 }
-                Action::Nack { text, come_back_after } => {
-                    self.report(now, sender, life, text, Noticed::Nacked { again: come_back_after });
+                Action::Nack { text, retry_after } => {
+                    self.report(now, sender, life, text, Noticed::Nacked { again: retry_after });
                 }
                 Action::Undeliverable { text } => {
                     self.report(now, sender, life, text, Noticed::Undeliverable);
@@ -626,7 +629,7 @@
         now: Moment,
         call: CallId,
         verdict: Verdict,
-        told_wait: Option<Span>,
+        retry_after: Option<Span>,
         allowance: Option<Allowance>,
         keeps: bool,
     ) {
@@ -665,7 +668,7 @@
                 endpoint: out.endpoint,
                 verdict,
                 in_doubt: false,
-                told_wait,
+                retry_after,
                 latency: now.since(out.sent),
                 ended: false,
                 allowance,
--- a/crates/lab/src/sockets/listeners.rs
+++ b/crates/lab/src/sockets/listeners.rs
@@ -321,7 +321,7 @@
         let stream = Arc::clone(&open.stream);
         drop(links);
         let report = allowance.map_or_else(String::new, |allowance| {
-            let value = platform::load_report(allowance.share_left, allowance.calls_per_sec);
+            let value = platform::load_report(allowance.remaining_share, allowance.calls_per_sec);
             format!("X-Server-Load: {value}\r\n")
         });
         let plain = |line: &str, more: &str, body: &str| {
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -157,7 +157,7 @@
     /// hears of them.
     pub fn step(&mut self, mut events: Vec<Event>) -> Vec<Action> {
         if self.now >= self.wake {
-            events.push(Event::Woken);
+            events.push(Event::TimerFired);
         }
         let actions = self.rules.step(self.now, events);
         for action in &actions {
@@ -191,13 +191,13 @@
             off.for_each(|at| self.places.leaves(at));
         }
         let scope = if listing.complete { Scope::Complete } else { Scope::Partial };
-        self.step(vec![Event::Listed { scope, entries }])
+        self.step(vec![Event::ListReceived { scope, entries }])
     }
 
     /// A text for a destination, as the next one.
-    pub fn text(&mut self, dest: usize, valid_for: Span) -> Handed {
+    pub fn text(&mut self, dest: usize, valid_for: Span) -> AcceptedText {
         self.next += 1;
-        Handed {
+        AcceptedText {
             text: TextId(self.next),
             product: ProductId(0),
             dest: DestId(dest),
@@ -227,7 +227,7 @@
         endpoint: submit.endpoint,
         verdict,
         in_doubt: false,
-        told_wait: None,
+        retry_after: None,
         latency,
         ended: false,
         allowance: None,
--- a/crates/scale/src/roles/destinations.rs
+++ b/crates/scale/src/roles/destinations.rs
@@ -75,7 +75,7 @@
         let start = meter.mark();
         for batch in 0..batches {
             let dests = batch * BATCH..size.min((batch + 1) * BATCH);
-            let texts: Vec<Event> = dests.map(|dest| Event::Taken(hollow.text(dest, DAY))).collect();
+            let texts: Vec<Event> = dests.map(|dest| Event::Accepted(hollow.text(dest, DAY))).collect();
             let actions = hollow.step(texts);
             let out = submits(&actions, &mut numbers);
             calls += out.len();
--- a/crates/scale/src/roles/outages.rs
+++ b/crates/scale/src/roles/outages.rs
@@ -83,7 +83,7 @@
     fn text(&mut self, hollow: &mut Hollow, dest: usize) -> Event {
         let handed = hollow.text(dest, DAY);
         self.of.insert(handed.text, dest);
-        Event::Taken(handed)
+        Event::Accepted(handed)
     }
 
     /// Calls fail, and for a text that is given up there comes the next.
@@ -96,7 +96,7 @@
             if let Action::Nack { text, .. } | Action::Undeliverable { text } = action {
                 self.given_up += 1;
                 self.numbers.remove(text);
-                events.push(Event::Told(*text));
+                events.push(Event::EndReported(*text));
                 if let Some(dest) = self.of.remove(text) {
                     events.push(self.text(hollow, dest));
                 }
--- a/crates/scale/src/roles/owed.rs
+++ b/crates/scale/src/roles/owed.rs
@@ -63,13 +63,13 @@
         }
         let id_bytes = meter.bytes_since(before);
 
-        let settings = Settings { listed_rate: ListedRate::Silent, ..info(1, 0).decode() };
+        let settings = Settings { listed_rate: ListedRate::Unspecified, ..info(1, 0).decode() };
         let mut hollow = Hollow::new(settings, seed);
         hollow.listed(parse_list(&list_text(0, DESTINATIONS, 1, true), &site, &limits)?);
-        hollow.step(vec![Event::Quiet(true)]);
+        hollow.step(vec![Event::PauseSubmits(true)]);
         let before = meter.mark();
         for batch in texts.chunks(BATCH) {
-            let events = batch.iter().map(|text| Event::Taken(handed(*text, hollow.now)));
+            let events = batch.iter().map(|text| Event::Accepted(handed(*text, hollow.now)));
             hollow.step(events.collect());
             hollow.passes(Span::millis(1));
         }
@@ -78,7 +78,7 @@
 
         // All goes out as fast as answers come.
         let (start, mut delivered, mut numbers) = (meter.mark(), 0, BTreeMap::new());
-        let mut actions = hollow.step(vec![Event::Quiet(false)]);
+        let mut actions = hollow.step(vec![Event::PauseSubmits(false)]);
         while delivered < size {
             let out = submits(&actions, &mut numbers);
             if out.is_empty() && hollow.now > Moment::from_millis(0.0) + DAY {
@@ -122,7 +122,7 @@
             Event::Resumed(handed(*text, hollow.now), past)
         });
         let left = left.collect();
-        hollow.step(vec![Event::Quiet(true)]);
+        hollow.step(vec![Event::PauseSubmits(true)]);
         hollow.step(left);
         let restarted = meter.micros_since(start);
         if found != size {
@@ -146,9 +146,9 @@
     }
 }
 
-fn handed(text: usize, now: Moment) -> Handed {
+fn handed(text: usize, now: Moment) -> AcceptedText {
     let (text, dest) = (TextId(text), DestId(text % DESTINATIONS));
-    Handed { text, product: ProductId(0), dest, key: None, valid_until: now + DAY }
+    AcceptedText { text, product: ProductId(0), dest, key: None, valid_until: now + DAY }
 }
 
 /// Takes so many texts into a journal, some to each write.
--- a/crates/scale/src/roles/senders.rs
+++ b/crates/scale/src/roles/senders.rs
@@ -59,7 +59,7 @@
         drop(fleet);
         let listed = full(size, ListedRate::Exact, true, seed);
         let at_once = full(size, ListedRate::Exact, false, seed);
-        let unknown = full(size, ListedRate::Silent, true, seed);
+        let unknown = full(size, ListedRate::Unspecified, true, seed);
         let started = |one_in, listed_rate| started(size, one_in, listed_rate, seed);
         let average = average(size, seed);
         Ok(vec![
@@ -80,7 +80,10 @@
                 "a tenth started anew, rate listed: most in a second",
                 started(10, ListedRate::Exact),
             ),
-            Reading::count("started anew, rate unknown: most in a second", started(1, ListedRate::Silent)),
+            Reading::count(
+                "started anew, rate unknown: most in a second",
+                started(1, ListedRate::Unspecified),
+            ),
             Reading::count("average: senders that had a text for it", average.had),
             Reading::count("average: senders that know it is down", average.know),
             Reading::count("average: calls a second", average.calls),
@@ -147,7 +150,7 @@
                 units: UNITS,
                 condition: Condition::Running,
             };
-            rules.step(now, vec![Event::Listed { scope: Scope::Complete, entries: vec![entry] }]);
+            rules.step(now, vec![Event::ListReceived { scope: Scope::Complete, entries: vec![entry] }]);
             rules
         };
         Fleet {
@@ -162,13 +165,13 @@
 
     fn text(&mut self, sender: usize) {
         let handed = self.handed(sender);
-        self.coming[sender].push(Event::Taken(handed));
+        self.coming[sender].push(Event::Accepted(handed));
     }
 
-    fn handed(&mut self, sender: usize) -> Handed {
+    fn handed(&mut self, sender: usize) -> AcceptedText {
         self.next += 1;
         self.held[sender] += 1;
-        Handed {
+        AcceptedText {
             text: TextId(self.next),
             product: ProductId(0),
             dest: DestId(0),
@@ -191,7 +194,7 @@
             let ended = events.iter().filter(ended).count();
             delivered += ended;
             self.held[sender] -= ended;
-            events.push(Event::Woken);
+            events.push(Event::TimerFired);
             for action in self.senders[sender].step(self.now, events) {
                 match action {
                     Action::Submit { text, endpoint, .. } => {
@@ -206,7 +209,7 @@
                     Action::Nack { text, .. } | Action::Undeliverable { text } => {
                         self.held[sender] -= 1;
                         self.numbers[sender].remove(&text);
-                        self.coming[sender].push(Event::Told(text));
+                        self.coming[sender].push(Event::EndReported(text));
                         self.text(sender);
                     }
                     _ => {}
@@ -265,7 +268,7 @@
     let mut left = 0;
     for sender in (0..size).step_by(one_in) {
         let handed = fleet.handed(sender);
-        fleet.coming[sender].push(Event::Resumed(handed, Past::default()));
+        fleet.coming[sender].push(Event::Resumed(handed, SubmitHistory::default()));
         left += 1;
     }
     let mut calls = Vec::new();
--- a/crates/sender/src/answer/tests.rs
+++ b/crates/sender/src/answer/tests.rs
@@ -11,6 +11,6 @@
         let mut ring = Ring::default();
         ring.push(format!("HTTP/1.1 429 X\r\nRetry-After: {told}\r\nContent-Length: 0\r\n\r\n").as_bytes());
         let head = http::take_answer_head(&mut ring, &limits, &mut 0).expect("HTTP").expect("whole");
-        assert_eq!(told_wait(&head), Some(Span::from_millis(millis)), "{told}");
+        assert_eq!(retry_after(&head), Some(Span::from_millis(millis)), "{told}");
     }
 }
--- a/crates/sender/src/call.rs
+++ b/crates/sender/src/call.rs
@@ -17,7 +17,7 @@
     /// When this sender stops waiting for it.
     pub by: Instant,
     /// It must not leave later: its receiver may have forgotten it, and a connection may take that long to come up.
-    pub leave_by: Instant,
+    pub send_deadline: Instant,
 }
 
 /// A call on its way. Each of its parts gets exactly one outcome, however the call ends: what nobody told when it is
@@ -87,7 +87,7 @@
 
 impl Drop for Call {
     fn drop(&mut self) {
-        let verdict = if self.left { Verdict::Reset } else { Verdict::Moot };
+        let verdict = if self.left { Verdict::Reset } else { Verdict::NotSent };
         self.tell(|_| verdict.into());
     }
 }
--- a/crates/sender/src/carrier.rs
+++ b/crates/sender/src/carrier.rs
@@ -198,7 +198,7 @@
         }
         self.target.trunk.counters.no_descriptor.add(1);
         log!("no connection to {} can be had: {e}", self.target.address);
-        Verdict::Moot
+        Verdict::NotSent
     }
 
     /// Sends the call; an error means that its last byte has not left. A text whose time is up before the call can leave
@@ -216,7 +216,8 @@
                 Some(found) => found.reason(),
             };
             self.drop_link(reason);
-            let latest = call.parts.iter().map(|part| part.by.min(part.leave_by)).max().unwrap_or(call.sent);
+            let latest =
+                call.parts.iter().map(|part| part.by.min(part.send_deadline)).max().unwrap_or(call.sent);
             let left = latest.saturating_duration_since(Instant::now());
             log_account!(endpoint = self.target.endpoint.0, texts = call.parts.len(); "connects");
             let opened = self.connects(left.min(self.target.trunk.site.get().connect_time));
@@ -225,10 +226,10 @@
             self.connection_use = ConnectionUse::default();
         }
         let now = Instant::now();
-        let late = call.parts.extract_if(.., |part| now >= part.by.min(part.leave_by)).collect();
+        let late = call.parts.extract_if(.., |part| now >= part.by.min(part.send_deadline)).collect();
         drop(call.split_off(late));
         if call.parts.is_empty() {
-            return Err(Verdict::Moot);
+            return Err(Verdict::NotSent);
         }
         let link = self.link.as_mut().expect("opened above");
         {
@@ -240,7 +241,7 @@
                 return Err(Verdict::Cancelled);
             }
             if control.withheld {
-                return Err(Verdict::Moot);
+                return Err(Verdict::NotSent);
             }
             control.left = true;
             control.stream = Some(Arc::clone(link.stream()));
@@ -266,7 +267,7 @@
             let headers = [("X-Timeout-Ms", wait.as_str())];
             http::put_request(&mut link.outward, "POST /v1/messages:batch", &host, &headers, &body);
         }
-        let by = call.parts.iter().map(|part| part.by.min(part.leave_by)).min().unwrap_or(call.sent);
+        let by = call.parts.iter().map(|part| part.by.min(part.send_deadline)).min().unwrap_or(call.sent);
         call.left = true;
         self.connection_use.begins(call.ids());
         link.send(by).map_err(|_| Verdict::ConnectFailed)?;
@@ -315,7 +316,7 @@
                 return Err(Verdict::Error);
             }
         };
-        let tells_wait = head.status != 200 && answer::told_wait(&head).is_some();
+        let tells_wait = head.status != 200 && answer::retry_after(&head).is_some();
         let rest = if tells_wait { limits.wait_rest } else { limits.answer_rest };
         let body = link.body(&head, limits.body, Instant::now() + rest);
         if let Err(fault) = &body {
@@ -360,10 +361,10 @@
             None if !names_texts && head.status == 200 => answer::read_status(head),
             // Nothing else in it can be believed, not even that it never ran. But a wait was told as its head was written.
             None if self.body.is_none() => {
-                Answered { told_wait: answer::told_wait(head), ..Verdict::Error.into() }
+                Answered { retry_after: answer::retry_after(head), ..Verdict::Error.into() }
             }
             // A call of several that can't be read, or is too large, ran for none of them.
-            None if names_texts && matches!(head.status, 400 | 413) => Verdict::Moot.into(),
+            None if names_texts && matches!(head.status, 400 | 413) => Verdict::NotSent.into(),
             None => answer::read_status(head),
         }
     }
--- a/crates/sender/src/decider.rs
+++ b/crates/sender/src/decider.rs
@@ -322,7 +322,7 @@
             self.ids.forget(self.limits.id_rest, self.limits.texts);
             let now = self.clock.now();
             if self.wake.is_none_or(|at| at <= now) {
-                self.events.push(Event::Woken);
+                self.events.push(Event::TimerFired);
             }
             let since = self.stopping.map(|since| since.elapsed());
             if since.is_some_and(|since| since >= self.limits.stop_submits) {
@@ -392,7 +392,7 @@
     fn hold(&mut self, holds: Holds) {
         if holds != self.holds {
             self.holds = holds;
-            self.events.push(Event::Quiet(holds.handover || holds.journal));
+            self.events.push(Event::PauseSubmits(holds.handover || holds.journal));
         }
     }
 
@@ -411,7 +411,7 @@
             keys,
             next_key,
             ids: self.ids.left(),
-            learnt: self.rules.learnt(),
+            learnt: self.rules.learned_state(),
         }
     }
 
@@ -444,7 +444,7 @@
                 let handed = self.handed(text, &info);
                 let left = handed.valid_until.since(self.clock.now()).as_millis();
                 log_account!(text = text.0, dest = info.dest, left; "taken");
-                self.pass_gate(text, info.key.as_deref(), Some(Event::Taken(handed)));
+                self.pass_gate(text, info.key.as_deref(), Some(Event::Accepted(handed)));
             }
             Word::Abandoned(answer) => {
                 // One that is not answered yet is met by the answer that finds nobody.
@@ -465,11 +465,11 @@
             }
             Word::Outcome(outcome) => {
                 self.came_back(outcome.text, outcome.submit);
-                let wait = outcome.told_wait.map_or(0.0, Span::as_millis);
+                let wait = outcome.retry_after.map_or(0.0, Span::as_millis);
                 log_account!(
                     text = outcome.text.0, submit = outcome.submit, endpoint = outcome.endpoint.0,
                     verdict:? = outcome.verdict, wait, ms = outcome.latency.as_millis(),
-                    left = outcome.allowance.map_or(-1.0, |a| a.share_left),
+                    left = outcome.allowance.map_or(-1.0, |a| a.remaining_share),
                     rate = outcome.allowance.map_or(-1.0, |a| a.calls_per_sec);
                     "outcome"
                 );
@@ -510,7 +510,7 @@
                 }
             }
             Word::Listed(None) => {
-                self.events.push(Event::Listed { scope: Scope::Error, entries: Vec::new() })
+                self.events.push(Event::ListReceived { scope: Scope::Error, entries: Vec::new() })
             }
             Word::Reported(texts) => {
                 for text in texts {
@@ -528,7 +528,7 @@
                     if let Some(key) = key {
                         self.keys.release(&key);
                     }
-                    self.events.push(Event::Told(text));
+                    self.events.push(Event::EndReported(text));
                 }
             }
             Word::Order(order) => self.order(order),
@@ -580,12 +580,12 @@
     }
 
     /// Tells the decisions; connections of one that was taken out end as they come to rest.
-    fn maintain(&mut self, name: &str, out: bool) {
+    fn maintain(&mut self, name: &str, out_of_service: bool) {
         let Some(endpoint) = self.places.find(name) else { return };
-        if out {
+        if out_of_service {
             self.places.retire(endpoint);
         }
-        self.events.push(Event::Maintained { endpoint, out });
+        self.events.push(Event::Maintenance { endpoint, out_of_service });
     }
 
     /// Answers the orders that are written now, and takes back those that could not be, or whose caller was told no
@@ -720,8 +720,8 @@
         true
     }
 
-    fn handed(&mut self, text: TextId, info: &TextInfo) -> Handed {
-        Handed {
+    fn handed(&mut self, text: TextId, info: &TextInfo) -> AcceptedText {
+        AcceptedText {
             text,
             product: self.table.find(&info.product).expect("terms last as long as their texts"),
             dest: DestId(self.dests.place(&info.dest)),
@@ -785,7 +785,7 @@
                     // Those behind it in its key wait for the report to be heard where they can be ended in time.
                     if self.table.find(&info.product).is_some() {
                         let handed = self.handed(text, info);
-                        self.pass_gate(text, info.key.as_deref(), Some(Event::Untold(handed)));
+                        self.pass_gate(text, info.key.as_deref(), Some(Event::UnreportedEnd(handed)));
                     }
                 }
                 None => {
@@ -841,7 +841,7 @@
             let off = self.places.all().into_iter().filter(|at| !told.contains(at));
             off.for_each(|at| self.places.leaves(at));
         }
-        self.events.push(Event::Listed { scope, entries });
+        self.events.push(Event::ListReceived { scope, entries });
         // What is on the list anew is not known there as taken out.
         out.iter().for_each(|name| self.maintain(name, true));
     }
@@ -871,8 +871,8 @@
         let mut asks: Vec<(EndpointId, peer::Ask)> = Vec::new();
         for action in self.rules.step(now, events) {
             match action {
-                Action::Submit { text, endpoint, time_out, leave_by, shares_connection } => {
-                    let Some(part) = self.submit(text, endpoint, at, now, (time_out, leave_by)) else {
+                Action::Submit { text, endpoint, time_out, send_deadline, shares_connection } => {
+                    let Some(part) = self.submit(text, endpoint, at, now, (time_out, send_deadline)) else {
                         log!("a submit for a text that is not at hand is dropped");
                         continue;
                     };
@@ -884,9 +884,9 @@
                         None => calls.push((endpoint, Call::new(part, at, shares_connection))),
                     }
                 }
-                Action::Nack { text, come_back_after } => {
+                Action::Nack { text, retry_after } => {
                     self.counters.nacked.add(1);
-                    let again_ms = come_back_after.map(Span::as_millis);
+                    let again_ms = retry_after.map(Span::as_millis);
                     self.give_up(text, Report::Nacked { again_ms });
                 }
                 Action::Undeliverable { text } => {
@@ -897,7 +897,7 @@
                     let out = self.out.get(&(text, submit));
                     asks.extend(out.map(|endpoint| (*endpoint, peer::Ask::Revoke((text, submit)))));
                 }
-                Action::Withhold { text, submit } => {
+                Action::CancelUnsent { text, submit } => {
                     let out = self.out.get(&(text, submit));
                     asks.extend(out.map(|endpoint| (*endpoint, peer::Ask::Withhold((text, submit)))));
                 }
@@ -905,15 +905,15 @@
                 Action::Subscribe { on } => _ = self.list.try_send(list::Ask::Watch(on)),
                 Action::ReadList => _ = self.list.try_send(list::Ask::Read),
                 Action::WakeAt(at) => self.wake = Some(at),
-                Action::Note(note) => log!("{note}"),
+                Action::Log(note) => log!("{note}"),
                 // This protocol has neither probes nor words between senders.
                 Action::Probe { endpoint } => self.events.push(Event::Probed {
                     endpoint,
-                    verdict: Verdict::Moot,
+                    verdict: Verdict::NotSent,
                     latency: Span::ZERO,
                     allowance: None,
                 }),
-                Action::Tell { .. } => {}
+                Action::SendToPeer { .. } => {}
             }
         }
         let written = self.flush();
@@ -933,7 +933,7 @@
         endpoint: EndpointId,
         at: Instant,
         now: Moment,
-        (time_out, leave_by): (Span, Moment),
+        (time_out, send_deadline): (Span, Moment),
     ) -> Option<Part> {
         let owed = self.wal.owed().get(&text.0)?;
         let part = Part {
@@ -943,7 +943,7 @@
             mark: owed.info.mark.clone(),
             body: Arc::clone(&owed.body),
             by: at + duration(time_out),
-            leave_by: at + duration(leave_by.since(now)),
+            send_deadline: at + duration(send_deadline.since(now)),
         };
         let place = self.places.get(endpoint)?;
         place.out += 1;
@@ -1082,9 +1082,9 @@
                 text: part.text,
                 submit: part.submit,
                 endpoint,
-                verdict: Verdict::Moot,
+                verdict: Verdict::NotSent,
                 in_doubt: false,
-                told_wait: None,
+                retry_after: None,
                 latency: Span::ZERO,
                 ended: false,
                 allowance: None,
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -7,7 +7,7 @@
 use crate::list::Listed;
 use crate::whole_file::{Lasting, replace};
 use indigomast::api::EndpointId;
-use indigomast::rules::Learnt;
+use indigomast::rules::LearnedState;
 use rustix::process::{PidfdFlags, PidfdGetfdFlags, getpid, pidfd_getfd, pidfd_open};
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File, OpenOptions};
@@ -102,7 +102,7 @@
     pub next_key: usize,
     /// Ids of texts that are over: form, whether it was proven, and for how many milliseconds.
     pub ids: Vec<(String, u32, bool, f64)>,
-    pub learnt: Learnt,
+    pub learnt: LearnedState,
 }
 
 impl HandoverState {
--- a/crates/sender/src/peer.rs
+++ b/crates/sender/src/peer.rs
@@ -237,11 +237,11 @@
         let counter = match answered.verdict {
             Verdict::Delivered => &counters.delivered,
             Verdict::Error => &counters.errors,
-            Verdict::Full => &counters.full,
+            Verdict::Overloaded => &counters.full,
             Verdict::TimeOut => &counters.time_outs,
             Verdict::ConnectFailed => &counters.unconnected,
             Verdict::Reset => &counters.resets,
-            Verdict::Cancelled | Verdict::Moot => &counters.not_sent,
+            Verdict::Cancelled | Verdict::NotSent => &counters.not_sent,
         };
         counter.add(1);
         _ = self.decider.send(Word::Outcome(Outcome {
@@ -250,7 +250,7 @@
             endpoint,
             verdict: answered.verdict,
             in_doubt: answered.in_doubt,
-            told_wait: answered.told_wait,
+            retry_after: answered.retry_after,
             latency: span(sent.elapsed()),
             ended: answered.ended,
             allowance: answered.allowance,
--- a/crates/sender/src/wal.rs
+++ b/crates/sender/src/wal.rs
@@ -8,7 +8,7 @@
 use crate::log;
 use crate::terms::Terms;
 use crate::texts_log::{self, Carried};
-use indigomast::api::Past;
+use indigomast::api::SubmitHistory;
 use indigomast::time::Moment;
 use indigomast_journal::{Entry, Folder, Journal, Key, Recovered, Settings, Store};
 use serde::{Deserialize, Serialize};
@@ -131,10 +131,10 @@
     }
 
     /// What the decisions have to know of earlier submits; those without an outcome may have run.
-    pub fn past(&self, zone: impl Fn(&str) -> indigomast::api::ZoneId) -> Past {
-        let doubt = self.sent.doubt.as_ref().or(self.sent.last.as_ref());
-        let doubt = doubt.map(|(at_ms, name)| (Moment::from_millis(*at_ms), zone(name)));
-        Past { submits: self.sent.submits, doubt }
+    pub fn past(&self, zone: impl Fn(&str) -> indigomast::api::ZoneId) -> SubmitHistory {
+        let first_in_doubt = self.sent.doubt.as_ref().or(self.sent.last.as_ref());
+        let first_in_doubt = first_in_doubt.map(|(at_ms, name)| (Moment::from_millis(*at_ms), zone(name)));
+        SubmitHistory { submits: self.sent.submits, first_in_doubt }
     }
 
     /// The latest time that it tells of, other than its own end.
--- a/crates/sender/tests/sender/edges.rs
+++ b/crates/sender/tests/sender/edges.rs
@@ -79,7 +79,7 @@
             let wal = Wal::open(&folder.state(), &limits(), real - off).expect("opens");
             let owed = &wal.owed()[&text];
             let mut rules = Rules::new(settings(window), 1);
-            let handed = Handed {
+            let handed = AcceptedText {
                 text: TextId(text),
                 product: ProductId(0),
                 dest: DestId(0),
@@ -95,13 +95,13 @@
                 }
                 for action in rules.step(real - off, std::mem::take(&mut events)) {
                     match action {
-                        Action::Submit { leave_by, .. } => sent.push(leave_by + off),
+                        Action::Submit { send_deadline, .. } => sent.push(send_deadline + off),
                         Action::Nack { .. } | Action::Undeliverable { .. } => ended.push(real),
                         _ => {}
                     }
                 }
                 real += Span::millis(20);
-                events.push(Event::Woken);
+                events.push(Event::TimerFired);
             }
             let late: Vec<_> = sent.iter().filter(|by| **by > begin + window).collect();
             assert!(late.is_empty(), "set back by {back} ms in {gone} ms: may leave at {late:?}");
@@ -120,7 +120,7 @@
         units: 1.0,
         condition: Condition::Running,
     };
-    Event::Listed { scope: Scope::Complete, entries: vec![entry] }
+    Event::ListReceived { scope: Scope::Complete, entries: vec![entry] }
 }
 
 fn settings(memory: Span) -> Settings {
@@ -131,7 +131,7 @@
         slots: 4,
         max_held: 100,
         products: vec![Product { sla_time, repeat, in_order: false, max_submits: 6 }],
-        kinds: vec![Kind { routes_apart: false, texts_per_call: 1 }],
+        kinds: vec![Kind { independent_routes: false, texts_per_call: 1 }],
         tick: Span::millis(5),
         ..Settings::default()
     }
--- a/crates/sender/tests/sender/owed.rs
+++ b/crates/sender/tests/sender/owed.rs
@@ -33,7 +33,7 @@
 
 fn past(owed: &Owed) -> (usize, Option<(Moment, ZoneId)>) {
     let past = owed.past(|zone| ZoneId(zone.len()));
-    (past.submits, past.doubt)
+    (past.submits, past.first_in_doubt)
 }
 
 /// Six texts; of each submit whether it never ran.
--- a/crates/sender/tests/sender/parts.rs
+++ b/crates/sender/tests/sender/parts.rs
@@ -231,7 +231,7 @@
             mark: None,
             body: Arc::default(),
             by,
-            leave_by: by,
+            send_deadline: by,
         }
     };
     let mut call = Call::new(part(0, 200), sent, false).to(EndpointId(0), &trunk);
@@ -275,7 +275,7 @@
         mark: None,
         body: Arc::default(),
         by,
-        leave_by: by,
+        send_deadline: by,
     }
 }
 
@@ -314,7 +314,7 @@
     let endpoint = Host::open();
     let (peer, trunk, words) = peer(&endpoint);
     peer.send(Ask::Call(Box::new(call(&trunk, [part(0, Instant::now())])))).expect("it listens");
-    assert_eq!(verdict(&words), Verdict::Moot);
+    assert_eq!(verdict(&words), Verdict::NotSent);
     assert!(endpoint.is_quiet());
     let by = Instant::now() + crate::common::PATIENCE;
     peer.send(Ask::Call(Box::new(call(&trunk, [part(0, by)])))).expect("it listens");
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -89,12 +89,12 @@
     Ok(match code {
         0 => Verdict::Delivered,
         255 => Verdict::Error,
-        254 => Verdict::Full,
+        254 => Verdict::Overloaded,
         253 => Verdict::TimeOut,
         252 => Verdict::ConnectFailed,
         251 => Verdict::Reset,
         250 => Verdict::Cancelled,
-        249 => Verdict::Moot,
+        249 => Verdict::NotSent,
         other => return Err(format!("disposition: {other} is no outcome")),
     })
 }
@@ -106,7 +106,7 @@
         Some(value) => value.as_f64().map(Some).ok_or_else(|| format!("telemetry.{name}: not a number")),
     };
     let (left, rate) = (field("x0")?, field("x1")?);
-    Ok(rate.map(|rate| Allowance { share_left: left.unwrap_or(0.0), calls_per_sec: rate }))
+    Ok(rate.map(|rate| Allowance { remaining_share: left.unwrap_or(0.0), calls_per_sec: rate }))
 }
 
 impl Instance {
@@ -148,7 +148,7 @@
                 if self.texts.knows(&job.op_id) {
                     return Err(format!("op-id: {} came before", job.op_id));
                 }
-                Event::Taken(Handed {
+                Event::Accepted(AcceptedText {
                     text: TextId(self.texts.place(&job.op_id)),
                     product,
                     dest: DestId(self.dests.place(&job.dest)),
@@ -163,14 +163,14 @@
             "Answer" => {
                 let answer: wire::Answer = read(event)?;
                 let verdict = verdict(answer.disposition)?;
-                let told = verdict == Verdict::Full && answer.note > 0.0;
+                let told = verdict == Verdict::Overloaded && answer.note > 0.0;
                 Event::Outcome(Outcome {
                     text: self.text(answer.op_id)?,
                     submit: answer.hop,
                     endpoint: EndpointId(self.endpoints.find(&answer.endpoint, "endpoint")?),
                     verdict,
                     in_doubt: false,
-                    told_wait: told.then(|| Span::from_millis(answer.note)),
+                    retry_after: told.then(|| Span::from_millis(answer.note)),
                     latency: Span::from_millis(answer.latency_ms),
                     ended: answer.no_more,
                     allowance: allowance(answer.telemetry)?,
@@ -194,12 +194,12 @@
                 if due.ctx != WAKE {
                     return Ok(());
                 }
-                Event::Woken
+                Event::TimerFired
             }
             "Inbox" => {
                 let inbox: wire::Inbox = read(event)?;
                 let bytes = BASE64_STANDARD.decode(&inbox.blob).map_err(|e| format!("blob: {e}"))?;
-                Event::Heard { from: inbox.src, bytes }
+                Event::PeerMessage { from: inbox.src, bytes }
             }
             other => return Err(format!("msg: {other:?} is no event")),
         };
@@ -213,7 +213,9 @@
         pages: &BTreeMap<u64, Vec<wire::Member>>,
     ) -> Result<Event, Complaint> {
         let scope = match known.scope {
-            wire::Scope::Error => return Ok(Event::Listed { scope: Scope::Error, entries: Vec::new() }),
+            wire::Scope::Error => {
+                return Ok(Event::ListReceived { scope: Scope::Error, entries: Vec::new() });
+            }
             wire::Scope::Partial => Scope::Partial,
             wire::Scope::Complete => Scope::Complete,
             wire::Scope::Persisted => Scope::Persisted,
@@ -234,7 +236,7 @@
                 },
             })
         });
-        Ok(Event::Listed { scope, entries: entries.collect::<Result<_, Complaint>>()? })
+        Ok(Event::ListReceived { scope, entries: entries.collect::<Result<_, Complaint>>()? })
     }
 
     fn act(&mut self, i: u64, now: Moment, out: &mut Vec<Act>) {
@@ -252,7 +254,7 @@
             };
             // On this wire a report has reached its client the moment it is given.
             let told = actions.iter().filter_map(|action| match action {
-                Action::Nack { text, .. } | Action::Undeliverable { text } => Some(Event::Told(*text)),
+                Action::Nack { text, .. } | Action::Undeliverable { text } => Some(Event::EndReported(*text)),
                 _ => None,
             });
             events = told.collect();
@@ -273,10 +275,10 @@
                 give_up_after_ms: time_out.as_millis(),
                 endpoint: address(endpoint),
             },
-            Action::Nack { text, come_back_after } => Act::PushBack {
+            Action::Nack { text, retry_after } => Act::PushBack {
                 i,
                 op_id: op(text),
-                cool_down_ms: come_back_after.unwrap_or(Span::ZERO).as_millis(),
+                cool_down_ms: retry_after.unwrap_or(Span::ZERO).as_millis(),
             },
             Action::Undeliverable { text } => Act::Error { i, op_id: op(text) },
             Action::Revoke { text, submit } => Act::Revoke { i, op_id: op(text), hop: submit },
@@ -284,15 +286,15 @@
             Action::CloseIdle { endpoint } => Act::Release { i, endpoint: address(endpoint) },
             Action::Subscribe { on } => Act::Follow { i, enable: on },
             Action::ReadList => Act::ReadList { i },
-            Action::Tell { sender, bytes } => Act::Announce {
+            Action::SendToPeer { sender, bytes } => Act::Announce {
                 i,
                 recipient: sender.map_or(-1, |n| n as i64),
                 blob: BASE64_STANDARD.encode(bytes),
             },
             Action::WakeAt(at) => Act::Timer { i, instant_ms: at.as_millis(), ctx: WAKE.into() },
-            Action::Note(what) => Act::Print { i, what },
+            Action::Log(what) => Act::Print { i, what },
             // There a call leaves in the moment it is told.
-            Action::Withhold { .. } => return None,
+            Action::CancelUnsent { .. } => return None,
         })
     }
 }
--- a/src/api.rs
+++ b/src/api.rs
@@ -40,14 +40,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListedRate {
     #[default]
-    Silent,
+    Unspecified,
     Exact,
-    Rough,
+    Approximate,
 }
 
 #[derive(Clone, Debug)]
 pub struct Kind {
-    pub routes_apart: bool,
+    pub independent_routes: bool,
     /// Texts that one call carries at most.
     pub texts_per_call: usize,
 }
@@ -66,21 +66,21 @@
     /// Changes of the list come only to those who subscribed.
     pub must_subscribe: bool,
     /// How long a sender may go without asking for the list, where it must ask.
-    pub must_ask_in: Span,
-    pub longest_advice: Option<Span>,
+    pub max_list_request_interval: Span,
+    pub max_retry_after: Option<Span>,
     /// Whether a call that is out may be given up before its time.
     pub may_revoke: bool,
     /// What it would cost if a call were turned away for each text, as a part of all revenue.
-    pub turned_away_price: f64,
+    pub rejection_cost: f64,
     /// Answers tell how much of a receiver's limit is left.
-    pub tells_limits: bool,
+    pub reports_limits: bool,
     pub tick: Span,
     /// An idle connection is shut after so long.
-    pub keeps_alive: Span,
+    pub keep_alive: Span,
     pub cold_share: f64,
-    pub cold_span: Span,
-    pub tip_multiple: f64,
-    pub rest_after_doubt: Span,
+    pub warm_up_time: Span,
+    pub cold_overload_factor: f64,
+    pub in_doubt_key_pause: Span,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -115,31 +115,31 @@
 pub enum Verdict {
     Delivered,
     Error,
-    Full,
+    Overloaded,
     TimeOut,
     ConnectFailed,
     Reset,
     Cancelled,
-    Moot,
+    NotSent,
 }
 
 impl Verdict {
     /// Whether the submit is known not to have run at the receiver.
     pub fn never_ran(self) -> bool {
-        matches!(self, Verdict::Full | Verdict::ConnectFailed | Verdict::Moot)
+        matches!(self, Verdict::Overloaded | Verdict::ConnectFailed | Verdict::NotSent)
     }
 }
 
 /// What an endpoint tells of its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    pub share_left: f64,
+    pub remaining_share: f64,
     pub calls_per_sec: f64,
 }
 
 /// A text as it was handed in.
 #[derive(Clone, Debug)]
-pub struct Handed {
+pub struct AcceptedText {
     pub text: TextId,
     pub product: ProductId,
     pub dest: DestId,
@@ -149,11 +149,11 @@
 
 /// What an earlier life of the sender did about a text.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Past {
+pub struct SubmitHistory {
     pub submits: usize,
     /// When and in which zone the first submit that may have run was sent; one still out when that life ended
     /// may have run.
-    pub doubt: Option<(Moment, ZoneId)>,
+    pub first_in_doubt: Option<(Moment, ZoneId)>,
 }
 
 #[derive(Clone, Debug)]
@@ -165,7 +165,7 @@
     pub verdict: Verdict,
     /// The answer may have been another submit's: whatever the verdict, this one may have run.
     pub in_doubt: bool,
-    pub told_wait: Option<Span>,
+    pub retry_after: Option<Span>,
     pub latency: Span,
     /// The text needs no further answer.
     pub ended: bool,
@@ -181,20 +181,20 @@
 
 #[derive(Clone, Debug)]
 pub enum Event {
-    Listed {
+    ListReceived {
         scope: Scope,
         entries: Vec<Entry>,
     },
-    Taken(Handed),
+    Accepted(AcceptedText),
     /// A text taken on by an earlier life of this sender, whose end is still owed. Told in the order in which
     /// they were taken, before any later text of their key.
-    Resumed(Handed, Past),
+    Resumed(AcceptedText, SubmitHistory),
     /// A text that an earlier life of this sender ended, without whoever asked for it having heard: its key waits until
-    /// [`Event::Told`], and nothing else is owed for it.
-    Untold(Handed),
+    /// [`Event::EndReported`], and nothing else is owed for it.
+    UnreportedEnd(AcceptedText),
     /// The text's nack or undeliverable report has reached the one who asked for it; until then the text is
     /// not over and its key waits.
-    Told(TextId),
+    EndReported(TextId),
     Outcome(Outcome),
     /// Nobody wants the text any more; its submits run on.
     Withdrawn(TextId),
@@ -205,44 +205,44 @@
         allowance: Option<Allowance>,
     },
     /// Operators took an endpoint out, or gave it back; until then the list has no say in it.
-    Maintained {
+    Maintenance {
         endpoint: EndpointId,
-        out: bool,
+        out_of_service: bool,
     },
     /// Other settings are in force from now on. Texts at hand keep their products.
     Settings(Settings),
     /// Until when the list that is held may be acted on; none where nothing ends that, as before the first word of it.
     ListLease(Option<Moment>),
     /// Another process is about to take over: nothing new is submitted, all else goes on; or it does not come after all.
-    Quiet(bool),
+    PauseSubmits(bool),
     /// The stream of an answer has begun.
     Streaming {
         text: TextId,
         submit: usize,
     },
     /// Word from another sender.
-    Heard {
+    PeerMessage {
         from: usize,
         bytes: Vec<u8>,
     },
     /// The time last asked for by [`Action::WakeAt`] has come.
-    Woken,
+    TimerFired,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Not to be sent after `leave_by`, however long a connection takes: its receiver may have forgotten it by then.
+    /// Not to be sent after `send_deadline`, however long a connection takes: its receiver may have forgotten it by then.
     Submit {
         text: TextId,
         endpoint: EndpointId,
         time_out: Span,
-        leave_by: Moment,
+        send_deadline: Moment,
         /// Its call may share a connection with others, and is answered by naming its texts.
         shares_connection: bool,
     },
     Nack {
         text: TextId,
-        come_back_after: Option<Span>,
+        retry_after: Option<Span>,
     },
     Undeliverable {
         text: TextId,
@@ -252,7 +252,7 @@
         submit: usize,
     },
     /// Not to be sent if it has not left yet, as while its connection comes up; then its outcome is moot.
-    Withhold {
+    CancelUnsent {
         text: TextId,
         submit: usize,
     },
@@ -266,10 +266,10 @@
         on: bool,
     },
     ReadList,
-    Tell {
+    SendToPeer {
         sender: Option<usize>,
         bytes: Vec<u8>,
     },
     WakeAt(Moment),
-    Note(String),
+    Log(String),
 }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -108,7 +108,7 @@
     valid_until: Moment,
     submits: usize,
     out: Option<u64>,
-    doubt: Option<(Moment, ZoneId)>,
+    first_in_doubt: Option<(Moment, ZoneId)>,
     /// Given up, but whoever waits for the text has not heard of it yet.
     untold: bool,
     /// It shared a call that ran for nobody, and may be what spoilt it: it shares no other.
@@ -280,7 +280,7 @@
 
 /// What a process has learnt, for the one that takes its place. Texts and the list are told by events.
 #[derive(Serialize, Deserialize)]
-pub struct Learnt {
+pub struct LearnedState {
     endpoints: BTreeMap<EndpointId, Endpoint>,
     lanes: BTreeMap<LaneId, Lane>,
     lost: BTreeMap<KindId, Moment>,
@@ -376,16 +376,16 @@
         Rules { settings, chance: Chance::new(seed), ..Rules::default() }
     }
 
-    pub fn learnt(&self) -> Learnt {
+    pub fn learned_state(&self) -> LearnedState {
         let rests = self.keys.iter().filter_map(|(id, key)| Some((*id, key.rest_until?)));
         let asked = self.holds.iter().map(|(id, hold)| (*id, hold.asked, hold.asked_at)).collect();
         let (endpoints, lanes, lost) = (self.endpoints.clone(), self.lanes.clone(), self.lost.clone());
-        Learnt { endpoints, lanes, lost, asked, rests: rests.collect(), started: self.started }
+        LearnedState { endpoints, lanes, lost, asked, rests: rests.collect(), started: self.started }
     }
 
     /// Goes on with what another process has learnt, of which no call is out any more.
-    pub fn successor(settings: Settings, seed: u64, learnt: Learnt) -> Rules {
-        let Learnt { endpoints, lanes, lost, asked, rests, started } = learnt;
+    pub fn successor(settings: Settings, seed: u64, learnt: LearnedState) -> Rules {
+        let LearnedState { endpoints, lanes, lost, asked, rests, started } = learnt;
         let mut rules = Rules { endpoints, lanes, lost, started, ..Rules::new(settings, seed) };
         rules.endpoints.values_mut().for_each(|at| at.running = false);
         let hold = |(dest, asked, asked_at)| (dest, Hold { asked, asked_at, ..Hold::default() });
@@ -408,20 +408,20 @@
         self.actions.extend((beat && self.settings.must_subscribe).then_some(Action::Subscribe { on: true }));
         for event in events {
             match event {
-                Event::Listed { scope, entries } => self.listed(scope, entries),
-                Event::Taken(handed) => self.taken(handed, None, false),
+                Event::ListReceived { scope, entries } => self.listed(scope, entries),
+                Event::Accepted(handed) => self.taken(handed, None, false),
                 Event::Resumed(handed, past) => self.taken(handed, Some(past), false),
-                Event::Untold(handed) => self.taken(handed, Some(Past::default()), true),
-                Event::Told(id) | Event::Withdrawn(id) => {
+                Event::UnreportedEnd(handed) => self.taken(handed, Some(SubmitHistory::default()), true),
+                Event::EndReported(id) | Event::Withdrawn(id) => {
                     self.texts.get_mut(&id).into_iter().for_each(|text| text.untold = false);
                     self.end(id);
                 }
                 Event::Outcome(outcome) => self.outcome(outcome),
-                Event::Maintained { endpoint, out } => self.maintained(endpoint, out),
+                Event::Maintenance { endpoint, out_of_service } => self.maintained(endpoint, out_of_service),
                 Event::Settings(settings) => self.settings = settings,
-                Event::Quiet(on) => self.quiet = on,
+                Event::PauseSubmits(on) => self.quiet = on,
                 Event::ListLease(until) => self.list_leased(until),
-                Event::Woken => beat = true,
+                Event::TimerFired => beat = true,
                 _ => {}
             }
         }
@@ -454,7 +454,8 @@
             // Asking costs the registry work, and all senders may have been turned away together.
             self.asks_failed += 1;
             let pause = FIRST_ASK * f64::from(1 << (self.asks_failed - 1).min(6));
-            let pause = pause.min(self.settings.must_ask_in.max(FIRST_ASK)) * (0.5 + self.chance.share());
+            let pause = pause.min(self.settings.max_list_request_interval.max(FIRST_ASK))
+                * (0.5 + self.chance.share());
             return self.dues.extend([(self.now + pause, Due::Ask)]);
         }
         self.asks_failed = 0;
@@ -503,7 +504,7 @@
         for call in calls {
             for id in &self.calls[&call].texts {
                 if let Some(text) = self.texts.get(id).filter(|text| text.out == Some(call)) {
-                    self.actions.push(Action::Withhold { text: *id, submit: text.submits - 1 });
+                    self.actions.push(Action::CancelUnsent { text: *id, submit: text.submits - 1 });
                 }
             }
         }
@@ -528,13 +529,24 @@
     }
 
     /// What was handed in before a restart is no demand of now; what of it may not go again ends at once.
-    fn taken(&mut self, handed: Handed, past: Option<Past>, untold: bool) {
-        let Handed { text: id, product, dest, key, valid_until } = handed;
-        let (resumed, Past { submits, doubt }) = (past.is_some(), past.unwrap_or_default());
+    fn taken(&mut self, handed: AcceptedText, past: Option<SubmitHistory>, untold: bool) {
+        let AcceptedText { text: id, product, dest, key, valid_until } = handed;
+        let (resumed, SubmitHistory { submits, first_in_doubt }) = (past.is_some(), past.unwrap_or_default());
         let key = key.filter(|_| self.settings.products[product.0].in_order);
         let (place, out, alone) = (Place::Behind, None, false);
-        let text =
-            Text { dest, product, key, valid_until, submits, out, doubt, untold, alone, resumed, place };
+        let text = Text {
+            dest,
+            product,
+            key,
+            valid_until,
+            submits,
+            out,
+            first_in_doubt,
+            untold,
+            alone,
+            resumed,
+            place,
+        };
         self.dues.insert((valid_until - ANSWER_MARGIN, Due::End(id)));
         self.dues.extend(self.memory_ends(&text).map(|end| (end, Due::End(id))));
         let over = !untold && !self.may_go_again(&text);
@@ -543,7 +555,8 @@
         let hold = self.holds.entry(dest).or_default();
         (hold.asked, hold.asked_at) = (hold.asked * hold.faded(now) + f64::from(u8::from(!resumed)), now);
         // What was out alone tells of no outage, or not of one that is over.
-        hold.gentle = hold.gentle.max((resumed && !untold).then_some(submits != 1 || doubt.is_none()));
+        hold.gentle =
+            hold.gentle.max((resumed && !untold).then_some(submits != 1 || first_in_doubt.is_none()));
         self.count_held(dest, 1);
         self.put(id, Place::Behind);
         match key {
@@ -552,7 +565,7 @@
                 let keyed = self.keys.entry(key).or_default();
                 keyed.line.push_back(id);
                 // The process before may have ended a moment ago, with a call out.
-                let rests = doubt.map(|_| now + self.settings.rest_after_doubt);
+                let rests = first_in_doubt.map(|_| now + self.settings.in_doubt_key_pause);
                 keyed.rest_until = keyed.rest_until.max(rests);
                 self.advance(key);
             }
@@ -586,7 +599,7 @@
             hold.fading.extend(fades.map(|end| (end, id)));
         }
         let untried = text.resumed && text.submits == 0;
-        if !matches!(place, Place::Out | Place::Ended) && text.doubt.is_none() && !untried {
+        if !matches!(place, Place::Out | Place::Ended) && text.first_in_doubt.is_none() && !untried {
             hold.sure.insert(id);
         }
         self.touched.insert(text.dest);
@@ -634,7 +647,7 @@
     }
 
     fn memory_ends(&self, text: &Text) -> Option<Moment> {
-        match (self.repeat(text), text.doubt) {
+        match (self.repeat(text), text.first_in_doubt) {
             (Repeat::Referenced { memory, .. }, Some((sent, _))) => Some(sent + memory - MEMORY_MARGIN),
             _ => None,
         }
@@ -652,7 +665,7 @@
     fn may_go_again(&self, text: &Text) -> bool {
         let once_only = self.repeat(text) == Repeat::OnceOnly;
         text.submits < self.settings.products[text.product.0].max_submits
-            && !(once_only && text.doubt.is_some())
+            && !(once_only && text.first_in_doubt.is_some())
             && self.memory_ends(text).is_none_or(|end| self.now < end)
             && self.now < text.valid_until - ANSWER_MARGIN
     }
@@ -662,16 +675,16 @@
         let lanes = self.lanes.range((text.dest, None)..=(text.dest, Some(EndpointId(usize::MAX))));
         let until = lanes.filter_map(|(_, lane)| Some(lane.health.opens(0)?.max(lane.wait_until))).min();
         let wait = until.map_or(Span::ZERO, |until| until.since(self.now));
-        let advice = self.settings.longest_advice.map(|most| wait.max(FIRST_PAUSE).min(most));
+        let advice = self.settings.max_retry_after.map(|most| wait.max(FIRST_PAUSE).min(most));
         // Whoever comes back later than the receiver remembers would have it run twice.
         let back = self.now + advice.unwrap_or(FIRST_PAUSE);
         let harmless = match self.repeat(text) {
             Repeat::Resendable => true,
-            Repeat::Referenced { one_zone: true, .. } | Repeat::OnceOnly => text.doubt.is_none(),
+            Repeat::Referenced { one_zone: true, .. } | Repeat::OnceOnly => text.first_in_doubt.is_none(),
             Repeat::Referenced { .. } => self.memory_ends(text).is_none_or(|end| back < end),
         };
         if harmless && text.out.is_none() {
-            self.actions.push(Action::Nack { text: id, come_back_after: advice });
+            self.actions.push(Action::Nack { text: id, retry_after: advice });
         } else {
             self.actions.push(Action::Undeliverable { text: id });
         }
@@ -745,38 +758,38 @@
         let Some(call_id) = text.out.take() else { return };
         let call = self.calls.get_mut(&call_id).expect("a submit that is out has its call");
         let Call { sent, endpoint, cut_short, .. } = *call;
-        text.alone |= call.texts.len() > 1 && outcome.verdict == Verdict::Moot;
+        text.alone |= call.texts.len() > 1 && outcome.verdict == Verdict::NotSent;
         // A text that stayed behind says nothing of the call that left without it.
-        let left = outcome.verdict != Verdict::Moot;
+        let left = outcome.verdict != Verdict::NotSent;
         let first_word = !call.judged && (left || call.texts_out == call.texts.len());
         call.judged |= left;
         call.texts_out -= 1;
         let done = call.texts_out == 0;
         if !outcome.never_ran() && outcome.verdict != Verdict::Delivered {
-            text.doubt.get_or_insert((sent, self.endpoints[&endpoint].zone));
+            text.first_in_doubt.get_or_insert((sent, self.endpoints[&endpoint].zone));
             if let Some(key) = text.key.and_then(|key| self.keys.get_mut(&key)) {
-                key.rest_until = Some(self.now + self.settings.rest_after_doubt);
+                key.rest_until = Some(self.now + self.settings.in_doubt_key_pause);
             }
         }
         let ended = text.place == Place::Ended || outcome.ended || outcome.verdict == Verdict::Delivered;
         let lane_id = self.lane_of(endpoint);
         // An answer to many texts may deliver some and tell a wait all the same.
-        if outcome.verdict == Verdict::Full || outcome.told_wait.is_some() {
+        if outcome.verdict == Verdict::Overloaded || outcome.retry_after.is_some() {
             let known = self.known_rate(lane_id);
             let lane = self.lanes.get_mut(&lane_id).expect("a lane with calls out stays");
-            if let Some(wait) = outcome.told_wait {
+            if let Some(wait) = outcome.retry_after {
                 lane.wait_until = lane.wait_until.max(self.now + wait + self.settings.tick);
             }
             // All who were told to wait come back at once: senders take turns by their number, a call of the
             // known rate apart. Where refused calls use up a limit each sits out a round for every full.
             if known > 0.0 && first_word {
                 let call = Span::from_millis(1000.0 / known);
-                let turn = call * outcome.told_wait.map_or(0.0, |_| self.settings.ordinal as f64);
+                let turn = call * outcome.retry_after.map_or(0.0, |_| self.settings.ordinal as f64);
                 let rounds =
                     (call * self.settings.senders as f64).min(LONGEST_ROUND) * f64::from(lane.health.strikes);
                 lane.paced = lane.paced.max(lane.wait_until.max(self.now) + turn + rounds);
             }
-            if outcome.told_wait.is_some() && first_word {
+            if outcome.retry_after.is_some() && first_word {
                 let others = self.lanes[&lane_id].calls.iter().copied();
                 self.withhold(others.filter(|other| *other != call_id).collect());
             }
@@ -784,9 +797,9 @@
         if first_word {
             // One that tells of its limit and says nothing now has no room for a connection, idle ones too:
             // those that rest keep others out. Where it is shut instead, they are closed for nothing.
-            let wordless = outcome.told_wait.is_none() && outcome.allowance.is_none();
+            let wordless = outcome.retry_after.is_none() && outcome.allowance.is_none();
             let kind = self.endpoints[&endpoint].kind;
-            if outcome.verdict == Verdict::Full && self.settings.tells_limits && wordless {
+            if outcome.verdict == Verdict::Overloaded && self.settings.reports_limits && wordless {
                 self.crowded.insert(kind, self.now);
             } else if matches!(outcome.verdict, Verdict::ConnectFailed | Verdict::Reset | Verdict::TimeOut) {
                 self.lost.insert(kind, self.now);
@@ -800,7 +813,7 @@
         }
         self.touched.insert(self.endpoints[&endpoint].dest);
         self.close_idle(endpoint);
-        let told = outcome.told_wait.map_or(self.now, |wait| self.now + wait);
+        let told = outcome.retry_after.map_or(self.now, |wait| self.now + wait);
         if ended { self.end(id) } else { self.reschedule(id, told) }
     }
 
@@ -820,7 +833,7 @@
     }
 
     fn judge(&mut self, endpoint_id: EndpointId, sent: Moment, cut_short: bool, outcome: &Outcome) {
-        let (now, slots, cold) = (self.now, self.settings.slots, self.settings.cold_span);
+        let (now, slots, cold) = (self.now, self.settings.slots, self.settings.warm_up_time);
         let lane_id = self.lane_of(endpoint_id);
         let (turn, common) = (self.turn(lane_id), self.common_rise());
         // A pace that nothing pressed against has shown nothing.
@@ -833,19 +846,19 @@
         let unpaced = self.lanes[&lane_id].pace == 0.0;
         let told = outcome.allowance.filter(|told| told.calls_per_sec > 0.0);
         let start = told.filter(|_| unpaced).map(|told| self.first_pace(lane_id, told.calls_per_sec));
-        let scarce = told.is_some_and(|told| told.share_left < SCARCE);
+        let scarce = told.is_some_and(|told| told.remaining_share < SCARCE);
         let endpoint = self.endpoints.get_mut(&endpoint_id).expect("known");
         let lane = self.lanes.get_mut(&lane_id).expect("a lane with calls out stays");
         if let Some(allowance) = outcome.allowance {
             (lane.told_rate, lane.pace) = (allowance.calls_per_sec, start.unwrap_or(lane.pace));
             // Of many senders each sees only here what the others do: a full comes when the limit is used up.
             if scarce && sent >= lane.cut_at {
-                let eased = lane.pace * (1.0 - EASING * (1.0 - allowance.share_left / SCARCE));
+                let eased = lane.pace * (1.0 - EASING * (1.0 - allowance.remaining_share / SCARCE));
                 lane.pace = lane.pace.min(eased.max(part * LEAST_PART));
             }
         }
         let weight = match outcome.verdict {
-            Verdict::Moot => return,
+            Verdict::NotSent => return,
             Verdict::Cancelled => return endpoint.health.failed(now, sent, 1, false, jitter),
             Verdict::Delivered => {
                 endpoint.health.succeeded(now, turn, cold);
@@ -870,17 +883,17 @@
             // Texts with little time left would mark a sound but unhurried receiver down.
             Verdict::TimeOut if cut_short && outcome.latency < lane.patience() => return,
             Verdict::TimeOut if cut_short => 1,
-            Verdict::Error | Verdict::Reset | Verdict::Full => 1,
+            Verdict::Error | Verdict::Reset | Verdict::Overloaded => 1,
             Verdict::TimeOut | Verdict::ConnectFailed => 3,
         };
         if outcome.verdict == Verdict::TimeOut && sent >= lane.cut_at {
             lane.time_outs += 1;
         }
-        if outcome.verdict == Verdict::Full && sent >= lane.cut_at {
+        if outcome.verdict == Verdict::Overloaded && sent >= lane.cut_at {
             // Where being turned away costs and neither a wait nor a rate is told, a pace far above what is
             // handed in would go on holding nothing back.
-            let free = self.settings.turned_away_price == 0.0;
-            let told = free || outcome.told_wait.is_some() || lane.told_rate > 0.0;
+            let free = self.settings.rejection_cost == 0.0;
+            let told = free || outcome.retry_after.is_some() || lane.told_rate > 0.0;
             let used = if told { lane.pace } else { lane.pace.min(part) };
             let from = if lane.pace > 0.0 { used } else { part.max(1.0) };
             let least = if known > 0.0 { part * LEAST_PART } else { LEAST_PACE };
@@ -915,7 +928,7 @@
 
     fn lane_of(&self, endpoint: EndpointId) -> LaneId {
         let at = &self.endpoints[&endpoint];
-        (at.dest, self.settings.kinds[at.kind.0].routes_apart.then_some(endpoint))
+        (at.dest, self.settings.kinds[at.kind.0].independent_routes.then_some(endpoint))
     }
 
     /// Calls a second that the receiver takes from all senders by its list or its own word; 0 if unknown.
@@ -927,9 +940,9 @@
         };
         match self.settings.listed_rate {
             _ if told > 0.0 => told,
-            ListedRate::Silent => 0.0,
+            ListedRate::Unspecified => 0.0,
             ListedRate::Exact => units,
-            ListedRate::Rough => units / 1.5,
+            ListedRate::Approximate => units / 1.5,
         }
     }
 
@@ -955,7 +968,7 @@
         let pause = hold.endpoints.len() as f64 / self.demand(at.dest).max(1e-3);
         let lately = |at: Option<&Moment>| at.is_some_and(|at| self.now.since(*at) < LOST_SPAN);
         let (lost, crowded) = (lately(self.lost.get(&at.kind)), lately(self.crowded.get(&at.kind)));
-        let rare = pause > self.settings.keeps_alive.as_secs() * KEPT_PART;
+        let rare = pause > self.settings.keep_alive.as_secs() * KEPT_PART;
         // What rests for its lane's pace or wait keeps others out of a crowd as well.
         let opens = self.lanes.get(&self.lane_of(id)).and_then(|lane| lane.opens(self.settings.slots));
         let held_back = crowded && opens.is_none_or(|opens| opens > self.now);
@@ -974,28 +987,28 @@
     /// What a sender allows itself of a rate before it has met its limit. Where refused calls cost, many that
     /// start far above their parts would use it up for all until each has been turned away often enough.
     fn first_pace(&self, id: LaneId, rate: f64) -> f64 {
-        let first = if self.settings.turned_away_price > 0.0 { 0.0 } else { FIRST_PART };
+        let first = if self.settings.rejection_cost > 0.0 { 0.0 } else { FIRST_PART };
         self.part(id).min(rate).max(rate * (2.0 / (self.settings.senders as f64 + 1.0)).max(first))
     }
 
     /// Pause between two calls to a cold receiver. Demand swells with nacks: a known rate is parted.
     fn cold_gap(&self, id: LaneId, since: Moment) -> Span {
-        let cold_span = self.settings.cold_span.as_secs().max(1e-3);
-        let warmth = (self.now.since(since).as_secs() / cold_span).min(1.0);
+        let warm_up_time = self.settings.warm_up_time.as_secs().max(1e-3);
+        let warmth = (self.now.since(since).as_secs() / warm_up_time).min(1.0);
         let share = self.settings.cold_share + (1.0 - self.settings.cold_share) * warmth;
         let senders = self.settings.senders.max(1) as f64;
         let equal = self.known_rate(id) / senders;
         // A process that has just begun goes by what it finds.
-        let found = self.holds.get(&id.0).map_or(0.0, |hold| hold.held as f64) / cold_span;
+        let found = self.holds.get(&id.0).map_or(0.0, |hold| hold.held as f64) / warm_up_time;
         let part = if equal > 0.0 { equal } else { (self.demand(id.0) * COLD_PEAK).max(found) };
-        let least = if equal > 0.0 { 1e-3 } else { (LEAST_COLD / senders).max(2.0 / cold_span) };
-        Span::from_millis(1000.0 / (self.settings.tip_multiple * share * part).max(least))
+        let least = if equal > 0.0 { 1e-3 } else { (LEAST_COLD / senders).max(2.0 / warm_up_time) };
+        Span::from_millis(1000.0 / (self.settings.cold_overload_factor * share * part).max(least))
     }
 
     /// Senders take turns at what has just come back: each starts its part of the gap later than the last.
     fn turn(&self, id: LaneId) -> Span {
         let part = (self.settings.ordinal + 1) as f64 / self.settings.senders.max(1) as f64;
-        self.cold_gap(id, self.now).min(self.settings.cold_span * 0.5) * part
+        self.cold_gap(id, self.now).min(self.settings.warm_up_time * 0.5) * part
     }
 
     /// Guards against silent receivers that draw in slots until the first time-out; one slow call may hurt.
@@ -1118,7 +1131,8 @@
         let takes = |id: &&TextId| {
             let text = &self.texts[*id];
             let one_zone = matches!(self.repeat(text), Repeat::Referenced { one_zone: true, .. });
-            self.may_go_again(text) && !(one_zone && text.doubt.is_some_and(|(_, first)| first != zone))
+            self.may_go_again(text)
+                && !(one_zone && text.first_in_doubt.is_some_and(|(_, first)| first != zone))
         };
         let mut chosen: Vec<TextId> = Vec::new();
         if down {
@@ -1156,14 +1170,20 @@
             self.put(id, Place::Out);
             let forgotten = self.memory_ends(&self.texts[&id]).map(|end| end + MEMORY_MARGIN * 0.5);
             let text = self.texts.get_mut(&id).expect("chosen from the hold");
-            let leave_by = forgotten.map_or(text.valid_until, |end| end.min(text.valid_until));
-            let leave_by = self.list_until.map_or(leave_by, |until| until.min(leave_by));
+            let send_deadline = forgotten.map_or(text.valid_until, |end| end.min(text.valid_until));
+            let send_deadline = self.list_until.map_or(send_deadline, |until| until.min(send_deadline));
             let left = (text.valid_until - CUT_MARGIN).since(self.now);
             cut_short |= left < time_out;
             let time_out = time_out.min(left);
             text.submits += 1;
             text.out = Some(call);
-            self.actions.push(Action::Submit { text: id, endpoint, time_out, leave_by, shares_connection });
+            self.actions.push(Action::Submit {
+                text: id,
+                endpoint,
+                time_out,
+                send_deadline,
+                shares_connection,
+            });
         }
         let parts = self.holds[&dest].endpoints.len() as f64;
         let own_gap = self.cold_gap(lane_id, warm_from(&self.endpoints[&endpoint].health)) * parts;
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -74,17 +74,17 @@
         slots: 64,
         max_held: 4_000,
         products: vec![Product { sla_time: Span::millis(2000), repeat, in_order: false, max_submits: 6 }],
-        kinds: vec![Kind { routes_apart: false, texts_per_call: 1 }],
+        kinds: vec![Kind { independent_routes: false, texts_per_call: 1 }],
         listed_rate: case.listed,
-        must_ask_in: Span::millis(10_000),
-        longest_advice: Some(Span::millis(2000)),
+        max_list_request_interval: Span::millis(10_000),
+        max_retry_after: Some(Span::millis(2000)),
         may_revoke: true,
         tick: Span::millis(5),
-        keeps_alive: Span::millis(10_000),
+        keep_alive: Span::millis(10_000),
         cold_share: COLD_SHARE,
-        cold_span: Span::from_millis(case.cold()),
-        tip_multiple: TIP_MULTIPLE,
-        rest_after_doubt: Span::millis(100),
+        warm_up_time: Span::from_millis(case.cold()),
+        cold_overload_factor: TIP_MULTIPLE,
+        in_doubt_key_pause: Span::millis(100),
         ..Settings::default()
     }
 }
@@ -99,7 +99,7 @@
 }
 
 struct Owed {
-    handed: Handed,
+    handed: AcceptedText,
     nacks: u32,
     submits: usize,
     /// When a submit was sent that may have run, and whether it is still out.
@@ -184,14 +184,17 @@
         };
         let entries = vec![endpoint(0), endpoint(1)];
         let sender = &mut self.senders[n];
-        let mut events = vec![Event::Listed { scope: Scope::Complete, entries }];
+        let mut events = vec![Event::ListReceived { scope: Scope::Complete, entries }];
         for owed in sender.owed.values_mut() {
             owed.out = false;
             let left = owed.handed.valid_until.as_millis() - now;
             owed.found_untried = owed.submits == 0 && left >= VALID / 2.0;
             self.found.untried += usize::from(owed.found_untried);
-            let doubt = owed.doubt.map(|at| (Moment::from_millis(at), ZoneId(0)));
-            events.push(Event::Resumed(owed.handed.clone(), Past { submits: owed.submits, doubt }));
+            let first_in_doubt = owed.doubt.map(|at| (Moment::from_millis(at), ZoneId(0)));
+            events.push(Event::Resumed(
+                owed.handed.clone(),
+                SubmitHistory { submits: owed.submits, first_in_doubt },
+            ));
         }
         let actions = rules.step(Moment::from_millis(now), events);
         (sender.rules, sender.life) = (Some(rules), life);
@@ -210,20 +213,20 @@
                 Action::Submit { text, endpoint, time_out, .. } => {
                     self.call(now, n, text, endpoint, time_out)
                 }
-                Action::Nack { text, come_back_after } => {
+                Action::Nack { text, retry_after } => {
                     let Some(owed) = self.senders[n].owed.remove(&text.0) else { continue };
                     self.found.untried_lost += usize::from(owed.found_untried && owed.submits == 0);
                     // Clients come again after what they were told, which swells what is handed in.
                     if owed.nacks < 2 {
-                        let after = come_back_after.map_or(500.0, |after| after.as_millis().max(100.0));
+                        let after = retry_after.map_or(500.0, |after| after.as_millis().max(100.0));
                         self.put(now + after, Ev::HandIn(n, owed.nacks + 1));
                     }
-                    self.step(now, n, Event::Told(text));
+                    self.step(now, n, Event::EndReported(text));
                 }
                 Action::Undeliverable { text } => {
                     let Some(owed) = self.senders[n].owed.remove(&text.0) else { continue };
                     self.found.untried_lost += usize::from(owed.found_untried && owed.submits == 0);
-                    self.step(now, n, Event::Told(text));
+                    self.step(now, n, Event::EndReported(text));
                 }
                 Action::WakeAt(at) => {
                     self.senders[n].wake = at.as_millis();
@@ -260,7 +263,7 @@
             endpoint,
             verdict,
             in_doubt: false,
-            told_wait: None,
+            retry_after: None,
             latency,
             ended: false,
             allowance: None,
@@ -301,7 +304,8 @@
                 let text = TextId(sender.taken);
                 sender.taken += 1;
                 let valid_until = Moment::from_millis(now + VALID);
-                let handed = Handed { text, product: ProductId(0), dest: DestId(0), key: None, valid_until };
+                let handed =
+                    AcceptedText { text, product: ProductId(0), dest: DestId(0), key: None, valid_until };
                 let owed = Owed {
                     handed: handed.clone(),
                     nacks,
@@ -311,11 +315,11 @@
                     found_untried: false,
                 };
                 sender.owed.insert(text.0, owed);
-                self.step(now, n, Event::Taken(handed));
+                self.step(now, n, Event::Accepted(handed));
             }
             Ev::Wake(n, at) => {
                 if self.senders[n].wake == at {
-                    self.step(now, n, Event::Woken);
+                    self.step(now, n, Event::TimerFired);
                 }
             }
             Ev::Answer(n, life, outcome) => {
@@ -419,29 +423,29 @@
 
 #[test]
 fn a_cold_destination_of_unknown_rate_bears_the_sum_of_equal_senders() {
-    assert_eq!(sweep(false, Shape::Equal, ListedRate::Silent), [""; 0]);
+    assert_eq!(sweep(false, Shape::Equal, ListedRate::Unspecified), [""; 0]);
 }
 
 #[test]
 fn a_cold_destination_of_unknown_rate_bears_the_sum_of_lopsided_senders() {
-    assert_eq!(sweep(false, Shape::Lopsided, ListedRate::Silent), [""; 0]);
+    assert_eq!(sweep(false, Shape::Lopsided, ListedRate::Unspecified), [""; 0]);
 }
 
 #[test]
 fn a_cold_destination_of_unknown_rate_bears_the_sum_of_senders_restarted_in_the_ramp() {
-    assert_eq!(sweep(false, Shape::Restarted, ListedRate::Silent), [""; 0]);
+    assert_eq!(sweep(false, Shape::Restarted, ListedRate::Unspecified), [""; 0]);
 }
 
 #[test]
 fn a_cold_destination_of_unknown_rate_bears_the_sum_of_senders_of_which_some_know_nothing() {
-    assert_eq!(sweep(false, Shape::Unaware, ListedRate::Silent), [""; 0]);
+    assert_eq!(sweep(false, Shape::Unaware, ListedRate::Unspecified), [""; 0]);
 }
 
 /// Most senders then have a text or none for it while it is out, and meet it once: too little to find it down by.
 #[test]
 fn a_cold_destination_of_fewer_calls_than_senders_bears_the_sum() {
     let all = |listed| SHAPES.iter().flat_map(move |shape| sweep(true, *shape, listed));
-    let bad: Vec<String> = all(ListedRate::Exact).chain(all(ListedRate::Silent)).collect();
+    let bad: Vec<String> = all(ListedRate::Exact).chain(all(ListedRate::Unspecified)).collect();
     assert_eq!(bad, [""; 0]);
 }
 
@@ -452,7 +456,7 @@
 
 /// The bound holds for any number of processes: alone, two, around ten, and as many as there may be.
 fn of_any_size(sizes: &[usize], seeds: u64) -> Vec<String> {
-    let listed = [ListedRate::Exact, ListedRate::Silent];
+    let listed = [ListedRate::Exact, ListedRate::Unspecified];
     let cases = sizes.iter().flat_map(|senders| BUDGETS.map(|budget| (*senders, budget)));
     let cases = cases.flat_map(|case| SHAPES.map(|shape| (case, shape)));
     let cases = cases.flat_map(|case| listed.map(|listed| (case, listed)));
@@ -486,7 +490,10 @@
 #[test]
 fn a_cold_destination_of_five_calls_bears_nine_hundred_senders_in_hard_seeds() {
     assert_eq!(broken_in(900, 5.0, ListedRate::Exact, &[56, 61, 105, 132, 165]), [0; 0]);
-    assert_eq!(broken_in(900, 5.0, ListedRate::Silent, &[49, 53, 56, 61, 105, 117, 132, 152, 165]), [0; 0]);
+    assert_eq!(
+        broken_in(900, 5.0, ListedRate::Unspecified, &[49, 53, 56, 61, 105, 117, 132, 152, 165]),
+        [0; 0]
+    );
 }
 
 #[test]
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -33,23 +33,23 @@
             product(REFERENCED, true),
         ],
         kinds: vec![
-            Kind { routes_apart: false, texts_per_call: 1 },
-            Kind { routes_apart: false, texts_per_call: 4 },
-            Kind { routes_apart: true, texts_per_call: 1 },
+            Kind { independent_routes: false, texts_per_call: 1 },
+            Kind { independent_routes: false, texts_per_call: 4 },
+            Kind { independent_routes: true, texts_per_call: 1 },
         ],
-        listed_rate: ListedRate::Silent,
+        listed_rate: ListedRate::Unspecified,
         must_subscribe: false,
-        must_ask_in: Span::millis(10_000),
+        max_list_request_interval: Span::millis(10_000),
         may_revoke: true,
-        turned_away_price: 0.0,
-        tells_limits: false,
-        longest_advice: Some(Span::millis(2000)),
+        rejection_cost: 0.0,
+        reports_limits: false,
+        max_retry_after: Some(Span::millis(2000)),
         tick: Span::millis(5),
-        keeps_alive: Span::millis(10_000),
+        keep_alive: Span::millis(10_000),
         cold_share: 0.2,
-        cold_span: Span::millis(10_000),
-        tip_multiple: 2.0,
-        rest_after_doubt: Span::millis(100),
+        warm_up_time: Span::millis(10_000),
+        cold_overload_factor: 2.0,
+        in_doubt_key_pause: Span::millis(100),
     }
 }
 
@@ -115,12 +115,12 @@
     }
 
     fn list(&mut self, scope: Scope, entries: Vec<Entry>) -> Vec<Action> {
-        self.step(vec![Event::Listed { scope, entries }])
+        self.step(vec![Event::ListReceived { scope, entries }])
     }
 
     fn taken(&mut self, product: usize, dest: usize, key: Option<usize>, lives: f64) -> Event {
         self.taken += 1;
-        Event::Taken(Handed {
+        Event::Accepted(AcceptedText {
             text: TextId(self.taken - 1),
             product: ProductId(product),
             dest: DestId(dest),
@@ -147,10 +147,10 @@
             endpoint,
             verdict,
             in_doubt: self.in_doubt,
-            told_wait: wait.map(Span::millis),
+            retry_after: wait.map(Span::millis),
             latency: Span::millis(self.latency),
             ended: verdict == Verdict::Delivered,
-            allowance: self.told.map(|rate| Allowance { share_left: self.left, calls_per_sec: rate }),
+            allowance: self.told.map(|rate| Allowance { remaining_share: self.left, calls_per_sec: rate }),
         };
         self.step(vec![Event::Outcome(outcome)])
     }
@@ -162,7 +162,7 @@
         while self.now < end {
             self.now += 5.0;
             let now = self.now;
-            done.extend(self.step(vec![Event::Woken]).into_iter().map(|a| (now, a)));
+            done.extend(self.step(vec![Event::TimerFired]).into_iter().map(|a| (now, a)));
         }
         done
     }
@@ -201,7 +201,7 @@
 
 #[test]
 fn window_is_halved_once_for_one_trouble() {
-    for verdict in [Verdict::Full, Verdict::Error, Verdict::Reset] {
+    for verdict in [Verdict::Overloaded, Verdict::Error, Verdict::Reset] {
         // A listed rate far above need keeps the pace out of the way.
         let mut bench = Bench::new(Settings { listed_rate: ListedRate::Exact, ..settings() }, 0);
         let fast = [0, 1].map(|n| Entry { units: 1000.0, ..entry(n, 0, 0, Condition::Running) });
@@ -225,11 +225,11 @@
     let undeliverable = "undeliverable";
     for (product, verdict, end) in [
         (0, Verdict::TimeOut, nacked),
-        (0, Verdict::Full, nacked),
+        (0, Verdict::Overloaded, nacked),
         (1, Verdict::Reset, nacked),
-        (2, Verdict::Full, nacked),
+        (2, Verdict::Overloaded, nacked),
         (2, Verdict::ConnectFailed, nacked),
-        (2, Verdict::Moot, nacked),
+        (2, Verdict::NotSent, nacked),
         (2, Verdict::TimeOut, undeliverable),
         (2, Verdict::Error, undeliverable),
         (2, Verdict::Reset, undeliverable),
@@ -255,9 +255,9 @@
 #[test]
 fn a_refusal_in_doubt_is_no_proof_that_a_text_never_ran() {
     for (product, verdict, again) in [
-        (0, Verdict::Full, true),
-        (1, Verdict::Full, true),
-        (2, Verdict::Full, false),
+        (0, Verdict::Overloaded, true),
+        (1, Verdict::Overloaded, true),
+        (2, Verdict::Overloaded, false),
         (2, Verdict::ConnectFailed, false),
     ] {
         let mut bench = Bench::new(settings(), 0);
@@ -330,7 +330,7 @@
     for (kind, goes_on) in [(0, false), (1, false), (2, true)] {
         let mut bench = Bench::new(settings(), kind);
         let (text, endpoint) = submits(&bench.take(1, 0, 0))[0];
-        bench.answer(text, endpoint, Verdict::Full, Some(3000));
+        bench.answer(text, endpoint, Verdict::Overloaded, Some(3000));
         let mut sent = submits(&bench.take(6, 0, 0));
         let done: Vec<Action> = bench.pass(2990.0).into_iter().map(|(_, a)| a).collect();
         sent.extend(submits(&done));
@@ -355,7 +355,7 @@
         if rests {
             let done: Vec<Action> = bench.pass(50.0).into_iter().map(|(_, a)| a).collect();
             assert!(submits(&done).is_empty(), "given up, but nobody has been told");
-            let done = bench.step(vec![Event::Told(TextId(0))]);
+            let done = bench.step(vec![Event::EndReported(TextId(0))]);
             assert_eq!(submits(&done).iter().map(|s| s.0).collect::<Vec<_>>(), [1]);
         }
     }
@@ -363,10 +363,10 @@
 
 #[test]
 fn a_resumed_text_goes_on_where_an_earlier_life_left_it() {
-    let sure = |submits| Past { submits, doubt: None };
-    let doubt = |submits, ago: i64| Past {
+    let sure = |submits| SubmitHistory { submits, first_in_doubt: None };
+    let doubt = |submits, ago: i64| SubmitHistory {
         submits,
-        doubt: Some((Moment::from_millis(100_000.0) - Span::millis(ago), ZoneId(0))),
+        first_in_doubt: Some((Moment::from_millis(100_000.0) - Span::millis(ago), ZoneId(0))),
     };
     // product, what became of it, time left; first action: 'f' goes at once, 'n' nacked, 'u' undeliverable
     let cases = [
@@ -391,11 +391,11 @@
     for (product, past, left, expected) in cases {
         let mut bench = Bench::new(settings(), 0);
         bench.now = 100_000.0;
-        let Event::Taken(handed) = bench.taken(product, 0, Some(3), left) else { unreachable!() };
+        let Event::Accepted(handed) = bench.taken(product, 0, Some(3), left) else { unreachable!() };
         let mut done = bench.step(vec![Event::Resumed(handed, past)]);
         // What was not out when the earlier life ended may wait for what is just back: it goes in its turn, which
         // is half of the 500 ms between two calls of one in two senders to a cold receiver of unknown rate.
-        let waits = past.submits != 1 || past.doubt.is_none();
+        let waits = past.submits != 1 || past.first_in_doubt.is_none();
         if waits && done.is_empty() {
             assert_eq!(bench.pass(245.0).len(), 0, "{product} {past:?} before its turn");
             done = bench.pass(10.0).into_iter().map(|(_, action)| action).collect();
@@ -415,11 +415,15 @@
 #[test]
 fn a_resumed_key_keeps_its_order() {
     let mut bench = Bench::new(settings(), 0);
-    let handed = |event| if let Event::Taken(handed) = event { handed } else { unreachable!() };
+    let handed = |event| if let Event::Accepted(handed) = event { handed } else { unreachable!() };
     let first = handed(bench.taken(4, 0, Some(7), 20_000.0));
     let second = handed(bench.taken(4, 0, Some(7), 20_000.0));
     let third = bench.taken(4, 0, Some(7), 20_000.0);
-    let events = vec![Event::Resumed(first, Past::default()), Event::Resumed(second, Past::default()), third];
+    let events = vec![
+        Event::Resumed(first, SubmitHistory::default()),
+        Event::Resumed(second, SubmitHistory::default()),
+        third,
+    ];
     let mut out = submits(&bench.step(events));
     for expected in 0..3 {
         // Each goes in its turn, as to a receiver that may be cold: no later than one of two senders sends two calls to one of
@@ -454,7 +458,7 @@
     let out = submits(&bench.step(events));
     assert!(submits(&bench.step(vec![Event::Withdrawn(TextId(0))])).is_empty());
     bench.now += 100.0;
-    assert_eq!(submits(&bench.answer(0, out[0].1, Verdict::Full, None)).first().map(|s| s.0), Some(1));
+    assert_eq!(submits(&bench.answer(0, out[0].1, Verdict::Overloaded, None)).first().map(|s| s.0), Some(1));
 }
 
 #[test]
@@ -504,7 +508,7 @@
         while bench.now < lives + 100.0 {
             bench.now += 20.0;
             let now = bench.now;
-            ended.extend(bench.step(vec![Event::Woken]).into_iter().map(|action| (now, action)));
+            ended.extend(bench.step(vec![Event::TimerFired]).into_iter().map(|action| (now, action)));
         }
         let [(at, Action::Undeliverable { text: TextId(1) })] = ended[..] else { panic!("{ended:?}") };
         assert!(at < lives && at > lives - 50.0, "at {at} of {lives}");
@@ -535,7 +539,7 @@
 #[test]
 fn a_text_left_untried_by_an_earlier_process_is_tried() {
     let resumed = |bench: &mut Bench, lives| match bench.taken(0, 0, None, lives) {
-        Event::Taken(handed) => Event::Resumed(handed, Past::default()),
+        Event::Accepted(handed) => Event::Resumed(handed, SubmitHistory::default()),
         _ => unreachable!("as it is made"),
     };
     // Far more than may be held from now on: none is given up for room, and none gets in beside them.
@@ -569,15 +573,15 @@
 #[test]
 fn texts_behind_an_untold_end_of_an_earlier_process_wait_and_end_in_time() {
     let mut bench = Bench::new(settings(), 0);
-    let Event::Taken(first) = bench.taken(4, 0, Some(1), 0.0) else { unreachable!("as it is made") };
+    let Event::Accepted(first) = bench.taken(4, 0, Some(1), 0.0) else { unreachable!("as it is made") };
     let behind = [500.0, 20_000.0].map(|lives| bench.taken(4, 0, Some(1), lives));
-    let mut events = vec![Event::Untold(first)];
+    let mut events = vec![Event::UnreportedEnd(first)];
     events.extend(behind);
     assert!(bench.step(events).is_empty());
     let done = bench.pass(1_000.0);
     let [(at, Action::Nack { text: TextId(1), .. })] = done[..] else { panic!("{done:?}") };
     assert!(at < 500.0);
-    let sent = bench.step(vec![Event::Told(TextId(0)), Event::Told(TextId(1))]);
+    let sent = bench.step(vec![Event::EndReported(TextId(0)), Event::EndReported(TextId(1))]);
     assert_eq!(submits(&sent).len(), 1, "{sent:?}");
 }
 
@@ -589,7 +593,7 @@
     let first = submits(&bench.take(4, 0, 0));
     assert_eq!(first.len(), 4);
     for (text, endpoint) in first {
-        bench.answer(text, endpoint, Verdict::Moot, None);
+        bench.answer(text, endpoint, Verdict::NotSent, None);
     }
     let (mut gone, mut left) = (Vec::new(), 1000.0);
     while gone.len() < 4 && left > 0.0 {
@@ -610,8 +614,8 @@
     // what the list says, what answers tell, calls that may go out in the first two seconds
     for (listed, told, least, most) in [
         (ListedRate::Exact, None, 3, 6),
-        (ListedRate::Silent, Some(3.0), 3, 7),
-        (ListedRate::Silent, None, 20, 99),
+        (ListedRate::Unspecified, Some(3.0), 3, 7),
+        (ListedRate::Unspecified, None, 20, 99),
     ] {
         let mut bench = Bench::new(Settings { listed_rate: listed, ..settings() }, 0);
         let entries = [0, 1].map(|n| Entry { units: 3.0, ..entry(n, 0, 0, Condition::Running) });
@@ -672,7 +676,7 @@
     let mut out = Vec::new();
     let mut late = 0;
     for beat in 0..200 {
-        let verdict = if beat < 40 { Verdict::Full } else { Verdict::Delivered };
+        let verdict = if beat < 40 { Verdict::Overloaded } else { Verdict::Delivered };
         for (text, endpoint) in std::mem::take(&mut out) {
             out.extend(submits(&bench.answer(text, endpoint, verdict, None)));
         }
@@ -770,7 +774,7 @@
         let mut bench = Bench::new(with, 0);
         bench.list(Scope::Complete, vec![Entry { units: 2.0, ..entry(0, 0, 0, Condition::Running) }]);
         let (text, endpoint) = submits(&bench.take(1, 0, 0))[0];
-        bench.answer(text, endpoint, Verdict::Full, Some(1000));
+        bench.answer(text, endpoint, Verdict::Overloaded, Some(1000));
         let done = bench.pass(4000.0);
         let first = done.iter().find(|(_, a)| matches!(a, Action::Submit { .. })).map(|(at, _)| *at);
         assert!(first.is_some_and(|at| at >= earliest && at <= latest), "sender {ordinal}: {first:?}");
@@ -824,7 +828,7 @@
         (Verdict::Reset, 6),
         (Verdict::ConnectFailed, 2),
         (Verdict::Error, 6),
-        (Verdict::Full, 6),
+        (Verdict::Overloaded, 6),
     ] {
         let mut bench = Bench::new(Settings { listed_rate: ListedRate::Exact, ..settings() }, 0);
         bench.list(Scope::Complete, vec![Entry { units: 500.0, ..entry(2, 1, 0, Condition::Running) }]);
@@ -995,13 +999,14 @@
         (true, false, Some(300), true),
         (false, false, None, true),
     ] {
-        let mut bench = Bench::new(Settings { tells_limits: tells, ..settings() }, 0);
+        let mut bench = Bench::new(Settings { reports_limits: tells, ..settings() }, 0);
         for n in 0..5 {
             let out = submits(&bench.take(1, 0, 1));
             bench.now += 100.0;
             bench.closed = 0;
             bench.told = (tells && (n < 4 || told)).then_some(50.0);
-            let (verdict, wait) = if n == 4 { (Verdict::Full, wait) } else { (Verdict::Delivered, None) };
+            let (verdict, wait) =
+                if n == 4 { (Verdict::Overloaded, wait) } else { (Verdict::Delivered, None) };
             bench.answer(n, out[0].1, verdict, wait);
             bench.pass(1_000.0);
         }
@@ -1019,14 +1024,14 @@
 fn connections_of_lanes_that_are_held_back_are_shut_in_a_crowd() {
     // the rate told, whether a call found no room for its connection, whether connections are left open
     for (rate, crowd, kept) in [(10.0, true, false), (10.0, false, true), (5_000.0, true, true)] {
-        let mut bench = Bench::new(Settings { tells_limits: true, senders: 300, ..settings() }, 0);
+        let mut bench = Bench::new(Settings { reports_limits: true, senders: 300, ..settings() }, 0);
         let mut out = submits(&bench.take(12, 0, 1));
         for n in 0..5 {
             bench.now += 100.0;
             let (text, endpoint) = out.remove(0);
             bench.closed = 0;
             bench.told = (n != 2 || !crowd).then_some(rate);
-            let verdict = if n == 2 && crowd { Verdict::Full } else { Verdict::Delivered };
+            let verdict = if n == 2 && crowd { Verdict::Overloaded } else { Verdict::Delivered };
             out.extend(submits(&bench.answer(text, endpoint, verdict, None)));
             // The others that are out come to their end, so that none is out when the last is answered.
             while n == 4 && !out.is_empty() {
@@ -1188,7 +1193,7 @@
             bench.now += 20.0;
             let (text, endpoint) = out.pop().expect("a call is out");
             let from = bench.now;
-            out = submits(&bench.answer(text, endpoint, Verdict::Full, None));
+            out = submits(&bench.answer(text, endpoint, Verdict::Overloaded, None));
             while out.is_empty() {
                 let done: Vec<Action> = bench.pass(5.0).into_iter().map(|(_, a)| a).collect();
                 out = submits(&done);
@@ -1203,7 +1208,7 @@
 /// is cold.
 #[test]
 fn an_endpoint_out_by_hand_gets_nothing_until_it_is_given_back() {
-    let out = |out| Event::Maintained { endpoint: EndpointId(0), out };
+    let out = |out_of_service| Event::Maintenance { endpoint: EndpointId(0), out_of_service };
     let mut bench = Bench::new(settings(), 0);
     bench.step(vec![out(true), out(true)]);
     let list = || (0..2).map(|n| entry(n, 0, 0, Condition::Running)).collect();
@@ -1242,7 +1247,7 @@
 fn an_heir_goes_on_with_what_was_learnt() {
     let mut bench = Bench::new(settings(), 0);
     let told = submits(&bench.take(1, 0, 0));
-    bench.answer(told[0].0, told[0].1, Verdict::Full, Some(3000));
+    bench.answer(told[0].0, told[0].1, Verdict::Overloaded, Some(3000));
     let until = bench.now + 3000.0;
     for _ in 0..20 {
         let mut done = bench.take(1, 0, 1);
@@ -1251,9 +1256,9 @@
         sent.for_each(|(text, at)| _ = bench.answer(text, at, Verdict::ConnectFailed, None));
     }
     assert!(bench.rules.avoids(EndpointId(2)), "down");
-    bench.step(vec![Event::Quiet(true)]);
+    bench.step(vec![Event::PauseSubmits(true)]);
     assert_eq!(submits(&bench.take(3, 0, 0)), [], "nothing new goes out while another takes over");
-    let learnt = bench.rules.learnt();
+    let learnt = bench.rules.learned_state();
     bench.rules = Rules::successor(settings(), 9, learnt);
     let list = vec![
         entry(0, 0, 0, Condition::Running),
@@ -1304,7 +1309,7 @@
 fn a_pace_is_cut_from_what_is_used_where_being_turned_away_costs() {
     for (price, told, held_back) in [(0.05, None, true), (0.0, None, false), (0.05, Some(400.0), true)] {
         let rate = ListedRate::Exact;
-        let known = Settings { listed_rate: rate, turned_away_price: price, senders: 4000, ..settings() };
+        let known = Settings { listed_rate: rate, rejection_cost: price, senders: 4000, ..settings() };
         let mut bench = Bench::new(known, 0);
         let mut listed = entry(2, 1, 0, Condition::Running);
         listed.units = 400.0;
@@ -1312,7 +1317,7 @@
         bench.told = told;
         let sent = submits(&bench.take(1, 0, 1));
         bench.now += 100.0;
-        bench.answer(sent[0].0, sent[0].1, Verdict::Full, None);
+        bench.answer(sent[0].0, sent[0].1, Verdict::Overloaded, None);
         // All that goes out from now on is delivered at once.
         let deliver = |bench: &mut Bench, first: Vec<Action>, spans: usize| {
             let (mut done, mut went) = (first, 0);
@@ -1339,7 +1344,7 @@
 #[test]
 fn a_sender_takes_less_while_little_of_a_limit_is_left() {
     let went = |left: f64| {
-        let known = Settings { turned_away_price: 0.1, senders: 100, ..settings() };
+        let known = Settings { rejection_cost: 0.1, senders: 100, ..settings() };
         let mut bench = Bench::new(known, 0);
         bench.list(Scope::Complete, vec![entry(2, 1, 0, Condition::Running)]);
         (bench.told, bench.left) = (Some(100.0), left);
@@ -1379,13 +1384,13 @@
         bench.now = 100_000.0;
         if wait > 0 {
             let (text, endpoint) = submits(&bench.take(1, 0, 1))[0];
-            bench.answer(text, endpoint, Verdict::Full, Some(wait));
+            bench.answer(text, endpoint, Verdict::Overloaded, Some(wait));
         }
-        let Event::Taken(handed) = bench.taken(1, 1, None, 9_000.0) else { unreachable!() };
+        let Event::Accepted(handed) = bench.taken(1, 1, None, 9_000.0) else { unreachable!() };
         let doubt = bench.at(bench.now) + Span::millis(remembered) - MEMORY;
-        let past = Past { submits: 6, doubt: Some((doubt, ZoneId(0))) };
+        let past = SubmitHistory { submits: 6, first_in_doubt: Some((doubt, ZoneId(0))) };
         let told = |action: &Action| match action {
-            Action::Nack { come_back_after, .. } => Some(*come_back_after),
+            Action::Nack { retry_after, .. } => Some(*retry_after),
             Action::Undeliverable { .. } => Some(None),
             _ => None,
         };
@@ -1406,19 +1411,19 @@
 fn a_call_that_has_not_left_is_withheld_by_what_is_told_meanwhile() {
     type Told = fn(&mut Bench, &[(usize, EndpointId)]) -> Vec<Action>;
     let told: [(&str, Told, bool); 4] = [
-        ("a wait", |bench, sent| bench.answer(sent[0].0, sent[0].1, Verdict::Full, Some(1000)), true),
-        ("a full", |bench, sent| bench.answer(sent[0].0, sent[0].1, Verdict::Full, None), false),
+        ("a wait", |bench, sent| bench.answer(sent[0].0, sent[0].1, Verdict::Overloaded, Some(1000)), true),
+        ("a full", |bench, sent| bench.answer(sent[0].0, sent[0].1, Verdict::Overloaded, None), false),
         ("a drain", |bench, _| bench.list(Scope::Partial, vec![entry(2, 1, 0, Condition::Stopping)]), true),
         (
             "an order",
-            |bench, _| bench.step(vec![Event::Maintained { endpoint: EndpointId(2), out: true }]),
+            |bench, _| bench.step(vec![Event::Maintenance { endpoint: EndpointId(2), out_of_service: true }]),
             true,
         ),
     ];
     for (what, told, withheld) in told {
         let mut bench = Bench::new(settings(), 0);
         let sent = submits(&bench.take(2, 0, 1));
-        let other = Action::Withhold { text: TextId(sent[1].0), submit: 0 };
+        let other = Action::CancelUnsent { text: TextId(sent[1].0), submit: 0 };
         assert_eq!(told(&mut bench, &sent).contains(&other), withheld, "{what}");
     }
     let mut bench = Bench::new(settings(), 0);
@@ -1427,7 +1432,7 @@
     bench.now += 100.0;
     bench.answer(sent[0].0, sent[0].1, Verdict::Reset, None);
     let again = bench.pass(2000.0).into_iter().find_map(|(_, action)| match action {
-        Action::Submit { leave_by, .. } => Some(leave_by),
+        Action::Submit { send_deadline, .. } => Some(send_deadline),
         _ => None,
     });
     let forgotten = bench.at(began) + MEMORY;
@@ -1443,14 +1448,14 @@
     bench.step(vec![Event::ListLease(Some(until))]);
     let leaves = |actions: &[Action]| {
         actions.iter().find_map(|action| match action {
-            Action::Submit { leave_by, .. } => Some(*leave_by),
+            Action::Submit { send_deadline, .. } => Some(*send_deadline),
             _ => None,
         })
     };
     assert_eq!(leaves(&bench.take(1, 0, 1)), Some(until));
     bench.now += 501.0;
     let lapsed = bench.take(1, 0, 1);
-    assert!(lapsed.contains(&Action::Withhold { text: TextId(0), submit: 0 }), "{lapsed:?}");
+    assert!(lapsed.contains(&Action::CancelUnsent { text: TextId(0), submit: 0 }), "{lapsed:?}");
     assert!(submits(&lapsed).is_empty(), "{lapsed:?}");
     let renewed = bench.step(vec![Event::ListLease(Some(bench.at(bench.now + 5_000.0)))]);
     assert_eq!(submits(&renewed).len(), 1, "{renewed:?}");
--- a/tests/window.rs
+++ b/tests/window.rs
@@ -5,7 +5,7 @@
 
 use indigomast::api::*;
 use indigomast::chance::Chance;
-use indigomast::rules::{Learnt, Rules};
+use indigomast::rules::{LearnedState, Rules};
 use indigomast::time::{Moment, Span};
 use std::collections::BTreeMap;
 
@@ -24,15 +24,15 @@
         slots: 8,
         max_held: 200,
         products: vec![Product { sla_time: Span::millis(400), repeat, in_order: false, max_submits: 12 }],
-        kinds: vec![Kind { routes_apart: false, texts_per_call }],
-        longest_advice: Some(Span::millis(1_000)),
+        kinds: vec![Kind { independent_routes: false, texts_per_call }],
+        max_retry_after: Some(Span::millis(1_000)),
         may_revoke: true,
         tick: Span::millis(5),
-        keeps_alive: Span::millis(10_000),
+        keep_alive: Span::millis(10_000),
         cold_share: 1.0,
-        cold_span: Span::millis(1_000),
-        tip_multiple: 10.0,
-        rest_after_doubt: Span::millis(100),
+        warm_up_time: Span::millis(1_000),
+        cold_overload_factor: 10.0,
+        in_doubt_key_pause: Span::millis(100),
         ..Settings::default()
     }
 }
@@ -74,7 +74,7 @@
         units: 1.0,
         condition: Condition::Running,
     };
-    Event::Listed { scope: Scope::Persisted, entries: vec![entry(0), entry(1)] }
+    Event::ListReceived { scope: Scope::Persisted, entries: vec![entry(0), entry(1)] }
 }
 
 impl World {
@@ -92,7 +92,7 @@
     fn step(&mut self, events: Vec<Event>) {
         for action in self.life.rules.step(self.now, events) {
             match action {
-                Action::Submit { text, endpoint, time_out, leave_by, .. } => {
+                Action::Submit { text, endpoint, time_out, send_deadline, .. } => {
                     let noted = self.noted.get_mut(&text).expect("handed in");
                     assert!(!noted.over, "{text:?} is submitted after its end");
                     if let Some((first, zone)) = noted.in_doubt.first() {
@@ -102,7 +102,7 @@
                             "{text:?}: {:?} after its doubt",
                             self.now.since(*first)
                         );
-                        assert!(leave_by + ON_THE_WAY <= forgotten, "{text:?} may leave too late");
+                        assert!(send_deadline + ON_THE_WAY <= forgotten, "{text:?} may leave too late");
                         let one_zone = matches!(
                             self.settings.products[0].repeat,
                             Repeat::Referenced { one_zone: true, .. }
@@ -132,12 +132,12 @@
         let valid_until = self.now + Span::millis(LIVES);
         self.noted.insert(TextId(at), Noted { valid_until, ..Noted::default() });
         let handed = self.handed(TextId(at));
-        self.step(vec![Event::Taken(handed)]);
+        self.step(vec![Event::Accepted(handed)]);
     }
 
-    fn handed(&self, text: TextId) -> Handed {
+    fn handed(&self, text: TextId) -> AcceptedText {
         let valid_until = self.noted[&text].valid_until;
-        Handed { text, product: ProductId(0), dest: DestId(0), key: None, valid_until }
+        AcceptedText { text, product: ProductId(0), dest: DestId(0), key: None, valid_until }
     }
 
     /// Ends the submit that has been out longest, or the one of this number.
@@ -151,14 +151,14 @@
         noted.over |= verdict == Verdict::Delivered;
         let ended = verdict == Verdict::Delivered;
         let latency = Span::millis(20);
-        let (told_wait, allowance) = (None, None);
+        let (retry_after, allowance) = (None, None);
         let outcome = Outcome {
             text,
             submit,
             endpoint,
             verdict,
             in_doubt: false,
-            told_wait,
+            retry_after,
             latency,
             ended,
             allowance,
@@ -167,12 +167,12 @@
     }
 
     /// What a process hands over that leaves in order, which it does once no call is out.
-    fn leaves(&self, hands_over: bool) -> Option<Learnt> {
-        (hands_over && self.life.out.is_empty()).then(|| self.life.rules.learnt())
+    fn leaves(&self, hands_over: bool) -> Option<LearnedState> {
+        (hands_over && self.life.out.is_empty()).then(|| self.life.rules.learned_state())
     }
 
     /// The process dies, and another one has started after `gone`; what was out may have run.
-    fn restart(&mut self, gone: Span, learnt: Option<Learnt>) {
+    fn restart(&mut self, gone: Span, learnt: Option<LearnedState>) {
         self.now += gone;
         let rules = match learnt {
             Some(learnt) => Rules::successor(self.settings.clone(), 7, learnt),
@@ -181,7 +181,8 @@
         self.life = Life { rules, out: Vec::new(), wake: self.now };
         let mut events = vec![list()];
         for (text, noted) in self.noted.iter().filter(|(_, noted)| !noted.over) {
-            let past = Past { submits: noted.submits, doubt: noted.in_doubt.first().copied() };
+            let past =
+                SubmitHistory { submits: noted.submits, first_in_doubt: noted.in_doubt.first().copied() };
             events.push(Event::Resumed(self.handed(*text), past));
         }
         self.step(events);
@@ -196,7 +197,7 @@
                 self.answer(at, Verdict::TimeOut);
             }
             if self.life.wake <= self.now {
-                self.step(vec![Event::Woken]);
+                self.step(vec![Event::TimerFired]);
             }
         }
     }
@@ -212,9 +213,9 @@
         Some(Verdict::Reset),
         Some(Verdict::Error),
         Some(Verdict::Cancelled),
-        Some(Verdict::Full),
+        Some(Verdict::Overloaded),
         Some(Verdict::ConnectFailed),
-        Some(Verdict::Moot),
+        Some(Verdict::NotSent),
     ];
     let mut seen = BTreeMap::<i64, (usize, usize)>::new();
     for window in WINDOWS {
@@ -268,8 +269,8 @@
                         1..4 => Verdict::Reset,
                         4..6 => Verdict::Error,
                         6 => Verdict::ConnectFailed,
-                        7 => Verdict::Moot,
-                        _ => Verdict::Full,
+                        7 => Verdict::NotSent,
+                        _ => Verdict::Overloaded,
                     };
                     world.answer(at, verdict);
                 }
