--- a/crates/lab/src/simulated.rs
+++ b/crates/lab/src/simulated.rs
@@ -429,7 +429,7 @@
                 let (verdict, wait, keeps) = match reply {
                     Reply::Done => (Verdict::Delivered, None, true),
                     Reply::Error => (Verdict::Error, None, true),
-                    Reply::Busy { wait } => (Verdict::Overloaded, wait, true),
+                    Reply::Busy { wait } => (Verdict::Full, wait, true),
                     Reply::Reset => (Verdict::Reset, None, false),
                     Reply::Spoilt => (Verdict::Error, None, false),
                 };
--- a/crates/sender/src/answer.rs
+++ b/crates/sender/src/answer.rs
@@ -57,14 +57,14 @@
 pub fn read_status(head: &AnswerHead) -> Answered {
     let (verdict, ended) = match head.status {
         200 => (Verdict::Delivered, true),
-        503 if head.headers.get("x-no-slot") == Some("1") => (Verdict::NotSent, false),
-        429 | 503 => (Verdict::Overloaded, false),
-        504 => (Verdict::NotSent, false),
-        410 => (Verdict::NotSent, true),
+        503 if head.headers.get("x-no-slot") == Some("1") => (Verdict::Moot, false),
+        429 | 503 => (Verdict::Full, false),
+        504 => (Verdict::Moot, false),
+        410 => (Verdict::Moot, true),
         // Nobody promised that anything else means it never ran.
         _ => (Verdict::Error, false),
     };
-    let retry_after = retry_after(head).filter(|_| verdict == Verdict::Overloaded);
+    let retry_after = retry_after(head).filter(|_| verdict == Verdict::Full);
     Answered { verdict, in_doubt: false, retry_after, ended, allowance: allowance(head) }
 }
 
@@ -72,7 +72,7 @@
 /// the endpoint has no room, and a wait that was told is heeded.
 pub fn in_doubt(answered: Answered) -> Answered {
     match answered.verdict {
-        Verdict::Overloaded => Answered { in_doubt: true, ..answered },
+        Verdict::Full => Answered { in_doubt: true, ..answered },
         _ => Verdict::Error.into(),
     }
 }
@@ -80,9 +80,9 @@
 pub fn read_end(end: Option<&str>, head: &AnswerHead) -> Answered {
     let (verdict, ended) = match end {
         Some("done") => (Verdict::Delivered, true),
-        Some("busy") => (Verdict::Overloaded, false),
-        Some("void") => (Verdict::NotSent, true),
-        Some("used_up") => (Verdict::NotSent, false),
+        Some("busy") => (Verdict::Full, false),
+        Some("void") => (Verdict::Moot, true),
+        Some("used_up") => (Verdict::Moot, false),
         _ => (Verdict::Error, false),
     };
     Answered { verdict, in_doubt: false, retry_after: retry_after(head), ended, allowance: allowance(head) }
--- a/crates/sender/src/call.rs
+++ b/crates/sender/src/call.rs
@@ -87,7 +87,7 @@
 
 impl Drop for Call {
     fn drop(&mut self) {
-        let verdict = if self.left { Verdict::Reset } else { Verdict::NotSent };
+        let verdict = if self.left { Verdict::Reset } else { Verdict::Moot };
         self.tell(|_| verdict.into());
     }
 }
--- a/crates/sender/src/carrier.rs
+++ b/crates/sender/src/carrier.rs
@@ -198,7 +198,7 @@
         }
         self.target.trunk.counters.no_descriptor.add(1);
         log!("no connection to {} can be had: {e}", self.target.address);
-        Verdict::NotSent
+        Verdict::Moot
     }
 
     /// Sends the call; an error means that its last byte has not left. A text whose time is up before the call can leave
@@ -229,7 +229,7 @@
         let late = call.parts.extract_if(.., |part| now >= part.by.min(part.send_deadline)).collect();
         drop(call.split_off(late));
         if call.parts.is_empty() {
-            return Err(Verdict::NotSent);
+            return Err(Verdict::Moot);
         }
         let link = self.link.as_mut().expect("opened above");
         {
@@ -241,7 +241,7 @@
                 return Err(Verdict::Cancelled);
             }
             if control.withheld {
-                return Err(Verdict::NotSent);
+                return Err(Verdict::Moot);
             }
             control.left = true;
             control.stream = Some(Arc::clone(link.stream()));
@@ -364,7 +364,7 @@
                 Answered { retry_after: answer::retry_after(head), ..Verdict::Error.into() }
             }
             // A call of several that can't be read, or is too large, ran for none of them.
-            None if names_texts && matches!(head.status, 400 | 413) => Verdict::NotSent.into(),
+            None if names_texts && matches!(head.status, 400 | 413) => Verdict::Moot.into(),
             None => answer::read_status(head),
         }
     }
--- a/crates/sender/src/decider.rs
+++ b/crates/sender/src/decider.rs
@@ -909,7 +909,7 @@
                 // This protocol has neither probes nor words between senders.
                 Action::Probe { endpoint } => self.events.push(Event::Probed {
                     endpoint,
-                    verdict: Verdict::NotSent,
+                    verdict: Verdict::Moot,
                     latency: Span::ZERO,
                     allowance: None,
                 }),
@@ -1082,7 +1082,7 @@
                 text: part.text,
                 submit: part.submit,
                 endpoint,
-                verdict: Verdict::NotSent,
+                verdict: Verdict::Moot,
                 in_doubt: false,
                 retry_after: None,
                 latency: Span::ZERO,
--- a/crates/sender/src/peer.rs
+++ b/crates/sender/src/peer.rs
@@ -237,11 +237,11 @@
         let counter = match answered.verdict {
             Verdict::Delivered => &counters.delivered,
             Verdict::Error => &counters.errors,
-            Verdict::Overloaded => &counters.full,
+            Verdict::Full => &counters.full,
             Verdict::TimeOut => &counters.time_outs,
             Verdict::ConnectFailed => &counters.unconnected,
             Verdict::Reset => &counters.resets,
-            Verdict::Cancelled | Verdict::NotSent => &counters.not_sent,
+            Verdict::Cancelled | Verdict::Moot => &counters.not_sent,
         };
         counter.add(1);
         _ = self.decider.send(Word::Outcome(Outcome {
--- a/crates/sender/tests/sender/crossings.rs
+++ b/crates/sender/tests/sender/crossings.rs
@@ -27,7 +27,7 @@
     mailbox.send(Ask::Call(Box::new(call(&trunk, [part(0, by), part(1, by)])))).expect("there is room");
     assert!(words.is_empty());
     drop((asks, mailbox));
-    assert_eq!([verdict(&words), verdict(&words)], [Verdict::NotSent; 2]);
+    assert_eq!([verdict(&words), verdict(&words)], [Verdict::Moot; 2]);
     // The decider answers by itself for what it could not even hand over.
     let parts = call(&trunk, [part(2, by)]).into_parts();
     assert_eq!((parts.len(), words.len()), (1, 0));
@@ -41,7 +41,7 @@
     let now = Instant::now();
     let parts = [part(0, now + PATIENCE), part(1, now), part(2, now + PATIENCE)];
     peer.send(Ask::Call(Box::new(call(&trunk, parts)))).expect("it listens");
-    assert_eq!(verdict(&words), Verdict::NotSent, "the late one never ran");
+    assert_eq!(verdict(&words), Verdict::Moot, "the late one never ran");
     let visit = endpoint.next();
     let body = String::from_utf8(visit.request.body.clone()).expect("text");
     assert_eq!([0, 1, 2].map(|at| body.contains(&format!("t{at} "))), [true, false, true], "{body}");
@@ -70,7 +70,7 @@
             }
         }
         visit.status(if submit == 0 { 503 } else { 200 });
-        assert_eq!(verdict(&words), if submit == 0 { Verdict::Overloaded } else { Verdict::Delivered });
+        assert_eq!(verdict(&words), if submit == 0 { Verdict::Full } else { Verdict::Delivered });
     }
 }
 
--- a/crates/sender/tests/sender/parts.rs
+++ b/crates/sender/tests/sender/parts.rs
@@ -314,7 +314,7 @@
     let endpoint = Host::open();
     let (peer, trunk, words) = peer(&endpoint);
     peer.send(Ask::Call(Box::new(call(&trunk, [part(0, Instant::now())])))).expect("it listens");
-    assert_eq!(verdict(&words), Verdict::NotSent);
+    assert_eq!(verdict(&words), Verdict::Moot);
     assert!(endpoint.is_quiet());
     let by = Instant::now() + crate::common::PATIENCE;
     peer.send(Ask::Call(Box::new(call(&trunk, [part(0, by)])))).expect("it listens");
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -89,12 +89,12 @@
     Ok(match code {
         0 => Verdict::Delivered,
         255 => Verdict::Error,
-        254 => Verdict::Overloaded,
+        254 => Verdict::Full,
         253 => Verdict::TimeOut,
         252 => Verdict::ConnectFailed,
         251 => Verdict::Reset,
         250 => Verdict::Cancelled,
-        249 => Verdict::NotSent,
+        249 => Verdict::Moot,
         other => return Err(format!("disposition: {other} is no outcome")),
     })
 }
@@ -163,7 +163,7 @@
             "Answer" => {
                 let answer: wire::Answer = read(event)?;
                 let verdict = verdict(answer.disposition)?;
-                let told = verdict == Verdict::Overloaded && answer.note > 0.0;
+                let told = verdict == Verdict::Full && answer.note > 0.0;
                 Event::Outcome(Outcome {
                     text: self.text(answer.op_id)?,
                     submit: answer.hop,
--- a/src/api.rs
+++ b/src/api.rs
@@ -115,18 +115,18 @@
 pub enum Verdict {
     Delivered,
     Error,
-    Overloaded,
+    Full,
     TimeOut,
     ConnectFailed,
     Reset,
     Cancelled,
-    NotSent,
+    Moot,
 }
 
 impl Verdict {
     /// Whether the submit is known not to have run at the receiver.
     pub fn never_ran(self) -> bool {
-        matches!(self, Verdict::Overloaded | Verdict::ConnectFailed | Verdict::NotSent)
+        matches!(self, Verdict::Full | Verdict::ConnectFailed | Verdict::Moot)
     }
 }
 
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -758,9 +758,9 @@
         let Some(call_id) = text.out.take() else { return };
         let call = self.calls.get_mut(&call_id).expect("a submit that is out has its call");
         let Call { sent, endpoint, cut_short, .. } = *call;
-        text.alone |= call.texts.len() > 1 && outcome.verdict == Verdict::NotSent;
+        text.alone |= call.texts.len() > 1 && outcome.verdict == Verdict::Moot;
         // A text that stayed behind says nothing of the call that left without it.
-        let left = outcome.verdict != Verdict::NotSent;
+        let left = outcome.verdict != Verdict::Moot;
         let first_word = !call.judged && (left || call.texts_out == call.texts.len());
         call.judged |= left;
         call.texts_out -= 1;
@@ -774,7 +774,7 @@
         let ended = text.place == Place::Ended || outcome.ended || outcome.verdict == Verdict::Delivered;
         let lane_id = self.lane_of(endpoint);
         // An answer to many texts may deliver some and tell a wait all the same.
-        if outcome.verdict == Verdict::Overloaded || outcome.retry_after.is_some() {
+        if outcome.verdict == Verdict::Full || outcome.retry_after.is_some() {
             let known = self.known_rate(lane_id);
             let lane = self.lanes.get_mut(&lane_id).expect("a lane with calls out stays");
             if let Some(wait) = outcome.retry_after {
@@ -799,7 +799,7 @@
             // those that rest keep others out. Where it is shut instead, they are closed for nothing.
             let wordless = outcome.retry_after.is_none() && outcome.allowance.is_none();
             let kind = self.endpoints[&endpoint].kind;
-            if outcome.verdict == Verdict::Overloaded && self.settings.reports_limits && wordless {
+            if outcome.verdict == Verdict::Full && self.settings.reports_limits && wordless {
                 self.crowded.insert(kind, self.now);
             } else if matches!(outcome.verdict, Verdict::ConnectFailed | Verdict::Reset | Verdict::TimeOut) {
                 self.lost.insert(kind, self.now);
@@ -858,7 +858,7 @@
             }
         }
         let weight = match outcome.verdict {
-            Verdict::NotSent => return,
+            Verdict::Moot => return,
             Verdict::Cancelled => return endpoint.health.failed(now, sent, 1, false, jitter),
             Verdict::Delivered => {
                 endpoint.health.succeeded(now, turn, cold);
@@ -883,13 +883,13 @@
             // Texts with little time left would mark a sound but unhurried receiver down.
             Verdict::TimeOut if cut_short && outcome.latency < lane.patience() => return,
             Verdict::TimeOut if cut_short => 1,
-            Verdict::Error | Verdict::Reset | Verdict::Overloaded => 1,
+            Verdict::Error | Verdict::Reset | Verdict::Full => 1,
             Verdict::TimeOut | Verdict::ConnectFailed => 3,
         };
         if outcome.verdict == Verdict::TimeOut && sent >= lane.cut_at {
             lane.time_outs += 1;
         }
-        if outcome.verdict == Verdict::Overloaded && sent >= lane.cut_at {
+        if outcome.verdict == Verdict::Full && sent >= lane.cut_at {
             // Where being turned away costs and neither a wait nor a rate is told, a pace far above what is
             // handed in would go on holding nothing back.
             let free = self.settings.rejection_cost == 0.0;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -201,7 +201,7 @@
 
 #[test]
 fn window_is_halved_once_for_one_trouble() {
-    for verdict in [Verdict::Overloaded, Verdict::Error, Verdict::Reset] {
+    for verdict in [Verdict::Full, Verdict::Error, Verdict::Reset] {
         // A listed rate far above need keeps the pace out of the way.
         let mut bench = Bench::new(Settings { listed_rate: ListedRate::Exact, ..settings() }, 0);
         let fast = [0, 1].map(|n| Entry { units: 1000.0, ..entry(n, 0, 0, Condition::Running) });
@@ -225,11 +225,11 @@
     let undeliverable = "undeliverable";
     for (product, verdict, end) in [
         (0, Verdict::TimeOut, nacked),
-        (0, Verdict::Overloaded, nacked),
+        (0, Verdict::Full, nacked),
         (1, Verdict::Reset, nacked),
-        (2, Verdict::Overloaded, nacked),
+        (2, Verdict::Full, nacked),
         (2, Verdict::ConnectFailed, nacked),
-        (2, Verdict::NotSent, nacked),
+        (2, Verdict::Moot, nacked),
         (2, Verdict::TimeOut, undeliverable),
         (2, Verdict::Error, undeliverable),
         (2, Verdict::Reset, undeliverable),
@@ -255,9 +255,9 @@
 #[test]
 fn a_refusal_in_doubt_is_no_proof_that_a_text_never_ran() {
     for (product, verdict, again) in [
-        (0, Verdict::Overloaded, true),
-        (1, Verdict::Overloaded, true),
-        (2, Verdict::Overloaded, false),
+        (0, Verdict::Full, true),
+        (1, Verdict::Full, true),
+        (2, Verdict::Full, false),
         (2, Verdict::ConnectFailed, false),
     ] {
         let mut bench = Bench::new(settings(), 0);
@@ -330,7 +330,7 @@
     for (kind, goes_on) in [(0, false), (1, false), (2, true)] {
         let mut bench = Bench::new(settings(), kind);
         let (text, endpoint) = submits(&bench.take(1, 0, 0))[0];
-        bench.answer(text, endpoint, Verdict::Overloaded, Some(3000));
+        bench.answer(text, endpoint, Verdict::Full, Some(3000));
         let mut sent = submits(&bench.take(6, 0, 0));
         let done: Vec<Action> = bench.pass(2990.0).into_iter().map(|(_, a)| a).collect();
         sent.extend(submits(&done));
@@ -458,7 +458,7 @@
     let out = submits(&bench.step(events));
     assert!(submits(&bench.step(vec![Event::Withdrawn(TextId(0))])).is_empty());
     bench.now += 100.0;
-    assert_eq!(submits(&bench.answer(0, out[0].1, Verdict::Overloaded, None)).first().map(|s| s.0), Some(1));
+    assert_eq!(submits(&bench.answer(0, out[0].1, Verdict::Full, None)).first().map(|s| s.0), Some(1));
 }
 
 #[test]
@@ -593,7 +593,7 @@
     let first = submits(&bench.take(4, 0, 0));
     assert_eq!(first.len(), 4);
     for (text, endpoint) in first {
-        bench.answer(text, endpoint, Verdict::NotSent, None);
+        bench.answer(text, endpoint, Verdict::Moot, None);
     }
     let (mut gone, mut left) = (Vec::new(), 1000.0);
     while gone.len() < 4 && left > 0.0 {
@@ -676,7 +676,7 @@
     let mut out = Vec::new();
     let mut late = 0;
     for beat in 0..200 {
-        let verdict = if beat < 40 { Verdict::Overloaded } else { Verdict::Delivered };
+        let verdict = if beat < 40 { Verdict::Full } else { Verdict::Delivered };
         for (text, endpoint) in std::mem::take(&mut out) {
             out.extend(submits(&bench.answer(text, endpoint, verdict, None)));
         }
@@ -774,7 +774,7 @@
         let mut bench = Bench::new(with, 0);
         bench.list(Scope::Complete, vec![Entry { units: 2.0, ..entry(0, 0, 0, Condition::Running) }]);
         let (text, endpoint) = submits(&bench.take(1, 0, 0))[0];
-        bench.answer(text, endpoint, Verdict::Overloaded, Some(1000));
+        bench.answer(text, endpoint, Verdict::Full, Some(1000));
         let done = bench.pass(4000.0);
         let first = done.iter().find(|(_, a)| matches!(a, Action::Submit { .. })).map(|(at, _)| *at);
         assert!(first.is_some_and(|at| at >= earliest && at <= latest), "sender {ordinal}: {first:?}");
@@ -828,7 +828,7 @@
         (Verdict::Reset, 6),
         (Verdict::ConnectFailed, 2),
         (Verdict::Error, 6),
-        (Verdict::Overloaded, 6),
+        (Verdict::Full, 6),
     ] {
         let mut bench = Bench::new(Settings { listed_rate: ListedRate::Exact, ..settings() }, 0);
         bench.list(Scope::Complete, vec![Entry { units: 500.0, ..entry(2, 1, 0, Condition::Running) }]);
@@ -1005,8 +1005,7 @@
             bench.now += 100.0;
             bench.closed = 0;
             bench.told = (tells && (n < 4 || told)).then_some(50.0);
-            let (verdict, wait) =
-                if n == 4 { (Verdict::Overloaded, wait) } else { (Verdict::Delivered, None) };
+            let (verdict, wait) = if n == 4 { (Verdict::Full, wait) } else { (Verdict::Delivered, None) };
             bench.answer(n, out[0].1, verdict, wait);
             bench.pass(1_000.0);
         }
@@ -1031,7 +1030,7 @@
             let (text, endpoint) = out.remove(0);
             bench.closed = 0;
             bench.told = (n != 2 || !crowd).then_some(rate);
-            let verdict = if n == 2 && crowd { Verdict::Overloaded } else { Verdict::Delivered };
+            let verdict = if n == 2 && crowd { Verdict::Full } else { Verdict::Delivered };
             out.extend(submits(&bench.answer(text, endpoint, verdict, None)));
             // The others that are out come to their end, so that none is out when the last is answered.
             while n == 4 && !out.is_empty() {
@@ -1193,7 +1192,7 @@
             bench.now += 20.0;
             let (text, endpoint) = out.pop().expect("a call is out");
             let from = bench.now;
-            out = submits(&bench.answer(text, endpoint, Verdict::Overloaded, None));
+            out = submits(&bench.answer(text, endpoint, Verdict::Full, None));
             while out.is_empty() {
                 let done: Vec<Action> = bench.pass(5.0).into_iter().map(|(_, a)| a).collect();
                 out = submits(&done);
@@ -1247,7 +1246,7 @@
 fn an_heir_goes_on_with_what_was_learnt() {
     let mut bench = Bench::new(settings(), 0);
     let told = submits(&bench.take(1, 0, 0));
-    bench.answer(told[0].0, told[0].1, Verdict::Overloaded, Some(3000));
+    bench.answer(told[0].0, told[0].1, Verdict::Full, Some(3000));
     let until = bench.now + 3000.0;
     for _ in 0..20 {
         let mut done = bench.take(1, 0, 1);
@@ -1317,7 +1316,7 @@
         bench.told = told;
         let sent = submits(&bench.take(1, 0, 1));
         bench.now += 100.0;
-        bench.answer(sent[0].0, sent[0].1, Verdict::Overloaded, None);
+        bench.answer(sent[0].0, sent[0].1, Verdict::Full, None);
         // All that goes out from now on is delivered at once.
         let deliver = |bench: &mut Bench, first: Vec<Action>, spans: usize| {
             let (mut done, mut went) = (first, 0);
@@ -1384,7 +1383,7 @@
         bench.now = 100_000.0;
         if wait > 0 {
             let (text, endpoint) = submits(&bench.take(1, 0, 1))[0];
-            bench.answer(text, endpoint, Verdict::Overloaded, Some(wait));
+            bench.answer(text, endpoint, Verdict::Full, Some(wait));
         }
         let Event::Accepted(handed) = bench.taken(1, 1, None, 9_000.0) else { unreachable!() };
         let doubt = bench.at(bench.now) + Span::millis(remembered) - MEMORY;
@@ -1411,8 +1410,8 @@
 fn a_call_that_has_not_left_is_withheld_by_what_is_told_meanwhile() {
     type Told = fn(&mut Bench, &[(usize, EndpointId)]) -> Vec<Action>;
     let told: [(&str, Told, bool); 4] = [
-        ("a wait", |bench, sent| bench.answer(sent[0].0, sent[0].1, Verdict::Overloaded, Some(1000)), true),
-        ("a full", |bench, sent| bench.answer(sent[0].0, sent[0].1, Verdict::Overloaded, None), false),
+        ("a wait", |bench, sent| bench.answer(sent[0].0, sent[0].1, Verdict::Full, Some(1000)), true),
+        ("a full", |bench, sent| bench.answer(sent[0].0, sent[0].1, Verdict::Full, None), false),
         ("a drain", |bench, _| bench.list(Scope::Partial, vec![entry(2, 1, 0, Condition::Stopping)]), true),
         (
             "an order",
--- a/tests/window.rs
+++ b/tests/window.rs
@@ -213,9 +213,9 @@
         Some(Verdict::Reset),
         Some(Verdict::Error),
         Some(Verdict::Cancelled),
-        Some(Verdict::Overloaded),
+        Some(Verdict::Full),
         Some(Verdict::ConnectFailed),
-        Some(Verdict::NotSent),
+        Some(Verdict::Moot),
     ];
     let mut seen = BTreeMap::<i64, (usize, usize)>::new();
     for window in WINDOWS {
@@ -269,8 +269,8 @@
                         1..4 => Verdict::Reset,
                         4..6 => Verdict::Error,
                         6 => Verdict::ConnectFailed,
-                        7 => Verdict::NotSent,
-                        _ => Verdict::Overloaded,
+                        7 => Verdict::Moot,
+                        _ => Verdict::Full,
                     };
                     world.answer(at, verdict);
                 }
