--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -249,7 +249,7 @@
             text.doubt.get_or_insert(self.now - outcome.latency);
             if let Some(key) = text.handed.key {
                 let line = self.lines.entry(key).or_default();
-                line.rest_until = self.now + self.settings.in_doubt_key_pause;
+                line.rest_until = self.now + self.settings.rest_after_doubt;
             }
         }
         if text.over {
--- a/crates/lab/src/simulated.rs
+++ b/crates/lab/src/simulated.rs
@@ -172,7 +172,7 @@
         policy,
         seed,
         net,
-        keeps: settings[0].keep_alive,
+        keeps: settings[0].keeps_alive,
         connect: Span::from_millis(scenario.rules.connect_ms),
         carriers: settings.iter().map(|_| Carrier::default()).collect(),
         settings,
--- a/crates/scale/src/roles/owed.rs
+++ b/crates/scale/src/roles/owed.rs
@@ -63,7 +63,7 @@
         }
         let id_bytes = meter.bytes_since(before);
 
-        let settings = Settings { listed_rate: ListedRate::Unspecified, ..info(1, 0).decode() };
+        let settings = Settings { listed_rate: ListedRate::Silent, ..info(1, 0).decode() };
         let mut hollow = Hollow::new(settings, seed);
         hollow.listed(parse_list(&list_text(0, DESTINATIONS, 1, true), &site, &limits)?);
         hollow.step(vec![Event::PauseSubmits(true)]);
--- a/crates/scale/src/roles/senders.rs
+++ b/crates/scale/src/roles/senders.rs
@@ -59,7 +59,7 @@
         drop(fleet);
         let listed = full(size, ListedRate::Exact, true, seed);
         let at_once = full(size, ListedRate::Exact, false, seed);
-        let unknown = full(size, ListedRate::Unspecified, true, seed);
+        let unknown = full(size, ListedRate::Silent, true, seed);
         let started = |one_in, listed_rate| started(size, one_in, listed_rate, seed);
         let average = average(size, seed);
         Ok(vec![
@@ -80,10 +80,7 @@
                 "a tenth started anew, rate listed: most in a second",
                 started(10, ListedRate::Exact),
             ),
-            Reading::count(
-                "started anew, rate unknown: most in a second",
-                started(1, ListedRate::Unspecified),
-            ),
+            Reading::count("started anew, rate unknown: most in a second", started(1, ListedRate::Silent)),
             Reading::count("average: senders that had a text for it", average.had),
             Reading::count("average: senders that know it is down", average.know),
             Reading::count("average: calls a second", average.calls),
--- a/crates/sender/src/list.rs
+++ b/crates/sender/src/list.rs
@@ -278,7 +278,7 @@
         true => Subscription::Polls,
     };
     let drain_grace = Span::from_millis(site.info.obligations.drain_grace_ms);
-    LeaseSettings { subscription, poll_term: settings.max_list_request_interval, drain_grace }
+    LeaseSettings { subscription, poll_term: settings.must_ask_in, drain_grace }
 }
 
 /// What a failed question says of discovery, as far as the age of the list goes.
@@ -292,7 +292,7 @@
 
 /// When a sender of this site asks, from now on, and within which time it has to.
 fn schedule(site: &Site) -> (PollSchedule, Duration) {
-    let (term, info) = (duration(site.info.decode().max_list_request_interval), &site.info);
+    let (term, info) = (duration(site.info.decode().must_ask_in), &site.info);
     (PollSchedule::new(Instant::now(), info.ordinal, info.group_size, term), term)
 }
 
--- a/crates/sender/tests/sender/edges.rs
+++ b/crates/sender/tests/sender/edges.rs
@@ -131,7 +131,7 @@
         slots: 4,
         max_held: 100,
         products: vec![Product { sla_time, repeat, in_order: false, max_submits: 6 }],
-        kinds: vec![Kind { independent_routes: false, texts_per_call: 1 }],
+        kinds: vec![Kind { routes_apart: false, texts_per_call: 1 }],
         tick: Span::millis(5),
         ..Settings::default()
     }
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -218,7 +218,7 @@
             max_submits: info.ceilings.max_attempts,
         };
         let kind = |at: usize| Kind {
-            independent_routes: info.family_info.routes_apart.get(at).copied().unwrap_or(false),
+            routes_apart: info.family_info.routes_apart.get(at).copied().unwrap_or(false),
             texts_per_call: info.family_info.kind_batch.get(at).copied().unwrap_or(1).max(1),
         };
         Settings {
@@ -230,24 +230,24 @@
             kinds: (0..info.kinds.len()).map(kind).collect(),
             listed_rate: match info.weight_kind {
                 WeightKind::Nominal => ListedRate::Exact,
-                WeightKind::Rough => ListedRate::Approximate,
-                WeightKind::Silent | WeightKind::Live => ListedRate::Unspecified,
+                WeightKind::Rough => ListedRate::Rough,
+                WeightKind::Silent | WeightKind::Live => ListedRate::Silent,
             },
             must_subscribe: info.membership_mode == MembershipMode::Subscribe,
-            max_list_request_interval: Span::from_millis(info.obligations.must_ask_in_ms),
-            max_retry_after: info
+            must_ask_in: Span::from_millis(info.obligations.must_ask_in_ms),
+            longest_advice: info
                 .ceilings
                 .retry_after
                 .then(|| Span::from_millis(info.ceilings.max_retry_after_ms)),
             may_revoke: info.ceilings.cancel,
-            rejection_cost: info.family_info.turned_away_price,
-            reports_limits: info.family_info.report_x0.is_some(),
+            turned_away_price: info.family_info.turned_away_price,
+            tells_limits: info.family_info.report_x0.is_some(),
             tick: Span::from_millis(info.tick_ms),
-            keep_alive: Span::from_millis(info.ceilings.keepalive_ms),
+            keeps_alive: Span::from_millis(info.ceilings.keepalive_ms),
             cold_share: info.obligations.cold_share,
-            warm_up_time: Span::from_millis(info.obligations.cold_ms),
-            cold_overload_factor: info.obligations.tip_multiple,
-            in_doubt_key_pause: Span::from_millis(info.obligations.settle_after_doubt_ms),
+            cold_span: Span::from_millis(info.obligations.cold_ms),
+            tip_multiple: info.obligations.tip_multiple,
+            rest_after_doubt: Span::from_millis(info.obligations.settle_after_doubt_ms),
         }
     }
 }
--- a/src/api.rs
+++ b/src/api.rs
@@ -40,14 +40,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListedRate {
     #[default]
-    Unspecified,
+    Silent,
     Exact,
-    Approximate,
+    Rough,
 }
 
 #[derive(Clone, Debug)]
 pub struct Kind {
-    pub independent_routes: bool,
+    pub routes_apart: bool,
     /// Texts that one call carries at most.
     pub texts_per_call: usize,
 }
@@ -66,21 +66,21 @@
     /// Changes of the list come only to those who subscribed.
     pub must_subscribe: bool,
     /// How long a sender may go without asking for the list, where it must ask.
-    pub max_list_request_interval: Span,
-    pub max_retry_after: Option<Span>,
+    pub must_ask_in: Span,
+    pub longest_advice: Option<Span>,
     /// Whether a call that is out may be given up before its time.
     pub may_revoke: bool,
     /// What it would cost if a call were turned away for each text, as a part of all revenue.
-    pub rejection_cost: f64,
+    pub turned_away_price: f64,
     /// Answers tell how much of a receiver's limit is left.
-    pub reports_limits: bool,
+    pub tells_limits: bool,
     pub tick: Span,
     /// An idle connection is shut after so long.
-    pub keep_alive: Span,
+    pub keeps_alive: Span,
     pub cold_share: f64,
-    pub warm_up_time: Span,
-    pub cold_overload_factor: f64,
-    pub in_doubt_key_pause: Span,
+    pub cold_span: Span,
+    pub tip_multiple: f64,
+    pub rest_after_doubt: Span,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -454,8 +454,7 @@
             // Asking costs the registry work, and all senders may have been turned away together.
             self.asks_failed += 1;
             let pause = FIRST_ASK * f64::from(1 << (self.asks_failed - 1).min(6));
-            let pause = pause.min(self.settings.max_list_request_interval.max(FIRST_ASK))
-                * (0.5 + self.chance.share());
+            let pause = pause.min(self.settings.must_ask_in.max(FIRST_ASK)) * (0.5 + self.chance.share());
             return self.dues.extend([(self.now + pause, Due::Ask)]);
         }
         self.asks_failed = 0;
@@ -565,7 +564,7 @@
                 let keyed = self.keys.entry(key).or_default();
                 keyed.line.push_back(id);
                 // The process before may have ended a moment ago, with a call out.
-                let rests = first_in_doubt.map(|_| now + self.settings.in_doubt_key_pause);
+                let rests = first_in_doubt.map(|_| now + self.settings.rest_after_doubt);
                 keyed.rest_until = keyed.rest_until.max(rests);
                 self.advance(key);
             }
@@ -675,7 +674,7 @@
         let lanes = self.lanes.range((text.dest, None)..=(text.dest, Some(EndpointId(usize::MAX))));
         let until = lanes.filter_map(|(_, lane)| Some(lane.health.opens(0)?.max(lane.wait_until))).min();
         let wait = until.map_or(Span::ZERO, |until| until.since(self.now));
-        let advice = self.settings.max_retry_after.map(|most| wait.max(FIRST_PAUSE).min(most));
+        let advice = self.settings.longest_advice.map(|most| wait.max(FIRST_PAUSE).min(most));
         // Whoever comes back later than the receiver remembers would have it run twice.
         let back = self.now + advice.unwrap_or(FIRST_PAUSE);
         let harmless = match self.repeat(text) {
@@ -768,7 +767,7 @@
         if !outcome.never_ran() && outcome.verdict != Verdict::Delivered {
             text.first_in_doubt.get_or_insert((sent, self.endpoints[&endpoint].zone));
             if let Some(key) = text.key.and_then(|key| self.keys.get_mut(&key)) {
-                key.rest_until = Some(self.now + self.settings.in_doubt_key_pause);
+                key.rest_until = Some(self.now + self.settings.rest_after_doubt);
             }
         }
         let ended = text.place == Place::Ended || outcome.ended || outcome.verdict == Verdict::Delivered;
@@ -799,7 +798,7 @@
             // those that rest keep others out. Where it is shut instead, they are closed for nothing.
             let wordless = outcome.retry_after.is_none() && outcome.allowance.is_none();
             let kind = self.endpoints[&endpoint].kind;
-            if outcome.verdict == Verdict::Full && self.settings.reports_limits && wordless {
+            if outcome.verdict == Verdict::Full && self.settings.tells_limits && wordless {
                 self.crowded.insert(kind, self.now);
             } else if matches!(outcome.verdict, Verdict::ConnectFailed | Verdict::Reset | Verdict::TimeOut) {
                 self.lost.insert(kind, self.now);
@@ -833,7 +832,7 @@
     }
 
     fn judge(&mut self, endpoint_id: EndpointId, sent: Moment, cut_short: bool, outcome: &Outcome) {
-        let (now, slots, cold) = (self.now, self.settings.slots, self.settings.warm_up_time);
+        let (now, slots, cold) = (self.now, self.settings.slots, self.settings.cold_span);
         let lane_id = self.lane_of(endpoint_id);
         let (turn, common) = (self.turn(lane_id), self.common_rise());
         // A pace that nothing pressed against has shown nothing.
@@ -892,7 +891,7 @@
         if outcome.verdict == Verdict::Full && sent >= lane.cut_at {
             // Where being turned away costs and neither a wait nor a rate is told, a pace far above what is
             // handed in would go on holding nothing back.
-            let free = self.settings.rejection_cost == 0.0;
+            let free = self.settings.turned_away_price == 0.0;
             let told = free || outcome.retry_after.is_some() || lane.told_rate > 0.0;
             let used = if told { lane.pace } else { lane.pace.min(part) };
             let from = if lane.pace > 0.0 { used } else { part.max(1.0) };
@@ -928,7 +927,7 @@
 
     fn lane_of(&self, endpoint: EndpointId) -> LaneId {
         let at = &self.endpoints[&endpoint];
-        (at.dest, self.settings.kinds[at.kind.0].independent_routes.then_some(endpoint))
+        (at.dest, self.settings.kinds[at.kind.0].routes_apart.then_some(endpoint))
     }
 
     /// Calls a second that the receiver takes from all senders by its list or its own word; 0 if unknown.
@@ -940,9 +939,9 @@
         };
         match self.settings.listed_rate {
             _ if told > 0.0 => told,
-            ListedRate::Unspecified => 0.0,
+            ListedRate::Silent => 0.0,
             ListedRate::Exact => units,
-            ListedRate::Approximate => units / 1.5,
+            ListedRate::Rough => units / 1.5,
         }
     }
 
@@ -968,7 +967,7 @@
         let pause = hold.endpoints.len() as f64 / self.demand(at.dest).max(1e-3);
         let lately = |at: Option<&Moment>| at.is_some_and(|at| self.now.since(*at) < LOST_SPAN);
         let (lost, crowded) = (lately(self.lost.get(&at.kind)), lately(self.crowded.get(&at.kind)));
-        let rare = pause > self.settings.keep_alive.as_secs() * KEPT_PART;
+        let rare = pause > self.settings.keeps_alive.as_secs() * KEPT_PART;
         // What rests for its lane's pace or wait keeps others out of a crowd as well.
         let opens = self.lanes.get(&self.lane_of(id)).and_then(|lane| lane.opens(self.settings.slots));
         let held_back = crowded && opens.is_none_or(|opens| opens > self.now);
@@ -987,28 +986,28 @@
     /// What a sender allows itself of a rate before it has met its limit. Where refused calls cost, many that
     /// start far above their parts would use it up for all until each has been turned away often enough.
     fn first_pace(&self, id: LaneId, rate: f64) -> f64 {
-        let first = if self.settings.rejection_cost > 0.0 { 0.0 } else { FIRST_PART };
+        let first = if self.settings.turned_away_price > 0.0 { 0.0 } else { FIRST_PART };
         self.part(id).min(rate).max(rate * (2.0 / (self.settings.senders as f64 + 1.0)).max(first))
     }
 
     /// Pause between two calls to a cold receiver. Demand swells with nacks: a known rate is parted.
     fn cold_gap(&self, id: LaneId, since: Moment) -> Span {
-        let warm_up_time = self.settings.warm_up_time.as_secs().max(1e-3);
-        let warmth = (self.now.since(since).as_secs() / warm_up_time).min(1.0);
+        let cold_span = self.settings.cold_span.as_secs().max(1e-3);
+        let warmth = (self.now.since(since).as_secs() / cold_span).min(1.0);
         let share = self.settings.cold_share + (1.0 - self.settings.cold_share) * warmth;
         let senders = self.settings.senders.max(1) as f64;
         let equal = self.known_rate(id) / senders;
         // A process that has just begun goes by what it finds.
-        let found = self.holds.get(&id.0).map_or(0.0, |hold| hold.held as f64) / warm_up_time;
+        let found = self.holds.get(&id.0).map_or(0.0, |hold| hold.held as f64) / cold_span;
         let part = if equal > 0.0 { equal } else { (self.demand(id.0) * COLD_PEAK).max(found) };
-        let least = if equal > 0.0 { 1e-3 } else { (LEAST_COLD / senders).max(2.0 / warm_up_time) };
-        Span::from_millis(1000.0 / (self.settings.cold_overload_factor * share * part).max(least))
+        let least = if equal > 0.0 { 1e-3 } else { (LEAST_COLD / senders).max(2.0 / cold_span) };
+        Span::from_millis(1000.0 / (self.settings.tip_multiple * share * part).max(least))
     }
 
     /// Senders take turns at what has just come back: each starts its part of the gap later than the last.
     fn turn(&self, id: LaneId) -> Span {
         let part = (self.settings.ordinal + 1) as f64 / self.settings.senders.max(1) as f64;
-        self.cold_gap(id, self.now).min(self.settings.warm_up_time * 0.5) * part
+        self.cold_gap(id, self.now).min(self.settings.cold_span * 0.5) * part
     }
 
     /// Guards against silent receivers that draw in slots until the first time-out; one slow call may hurt.
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -74,17 +74,17 @@
         slots: 64,
         max_held: 4_000,
         products: vec![Product { sla_time: Span::millis(2000), repeat, in_order: false, max_submits: 6 }],
-        kinds: vec![Kind { independent_routes: false, texts_per_call: 1 }],
+        kinds: vec![Kind { routes_apart: false, texts_per_call: 1 }],
         listed_rate: case.listed,
-        max_list_request_interval: Span::millis(10_000),
-        max_retry_after: Some(Span::millis(2000)),
+        must_ask_in: Span::millis(10_000),
+        longest_advice: Some(Span::millis(2000)),
         may_revoke: true,
         tick: Span::millis(5),
-        keep_alive: Span::millis(10_000),
+        keeps_alive: Span::millis(10_000),
         cold_share: COLD_SHARE,
-        warm_up_time: Span::from_millis(case.cold()),
-        cold_overload_factor: TIP_MULTIPLE,
-        in_doubt_key_pause: Span::millis(100),
+        cold_span: Span::from_millis(case.cold()),
+        tip_multiple: TIP_MULTIPLE,
+        rest_after_doubt: Span::millis(100),
         ..Settings::default()
     }
 }
@@ -423,29 +423,29 @@
 
 #[test]
 fn a_cold_destination_of_unknown_rate_bears_the_sum_of_equal_senders() {
-    assert_eq!(sweep(false, Shape::Equal, ListedRate::Unspecified), [""; 0]);
+    assert_eq!(sweep(false, Shape::Equal, ListedRate::Silent), [""; 0]);
 }
 
 #[test]
 fn a_cold_destination_of_unknown_rate_bears_the_sum_of_lopsided_senders() {
-    assert_eq!(sweep(false, Shape::Lopsided, ListedRate::Unspecified), [""; 0]);
+    assert_eq!(sweep(false, Shape::Lopsided, ListedRate::Silent), [""; 0]);
 }
 
 #[test]
 fn a_cold_destination_of_unknown_rate_bears_the_sum_of_senders_restarted_in_the_ramp() {
-    assert_eq!(sweep(false, Shape::Restarted, ListedRate::Unspecified), [""; 0]);
+    assert_eq!(sweep(false, Shape::Restarted, ListedRate::Silent), [""; 0]);
 }
 
 #[test]
 fn a_cold_destination_of_unknown_rate_bears_the_sum_of_senders_of_which_some_know_nothing() {
-    assert_eq!(sweep(false, Shape::Unaware, ListedRate::Unspecified), [""; 0]);
+    assert_eq!(sweep(false, Shape::Unaware, ListedRate::Silent), [""; 0]);
 }
 
 /// Most senders then have a text or none for it while it is out, and meet it once: too little to find it down by.
 #[test]
 fn a_cold_destination_of_fewer_calls_than_senders_bears_the_sum() {
     let all = |listed| SHAPES.iter().flat_map(move |shape| sweep(true, *shape, listed));
-    let bad: Vec<String> = all(ListedRate::Exact).chain(all(ListedRate::Unspecified)).collect();
+    let bad: Vec<String> = all(ListedRate::Exact).chain(all(ListedRate::Silent)).collect();
     assert_eq!(bad, [""; 0]);
 }
 
@@ -456,7 +456,7 @@
 
 /// The bound holds for any number of processes: alone, two, around ten, and as many as there may be.
 fn of_any_size(sizes: &[usize], seeds: u64) -> Vec<String> {
-    let listed = [ListedRate::Exact, ListedRate::Unspecified];
+    let listed = [ListedRate::Exact, ListedRate::Silent];
     let cases = sizes.iter().flat_map(|senders| BUDGETS.map(|budget| (*senders, budget)));
     let cases = cases.flat_map(|case| SHAPES.map(|shape| (case, shape)));
     let cases = cases.flat_map(|case| listed.map(|listed| (case, listed)));
@@ -490,10 +490,7 @@
 #[test]
 fn a_cold_destination_of_five_calls_bears_nine_hundred_senders_in_hard_seeds() {
     assert_eq!(broken_in(900, 5.0, ListedRate::Exact, &[56, 61, 105, 132, 165]), [0; 0]);
-    assert_eq!(
-        broken_in(900, 5.0, ListedRate::Unspecified, &[49, 53, 56, 61, 105, 117, 132, 152, 165]),
-        [0; 0]
-    );
+    assert_eq!(broken_in(900, 5.0, ListedRate::Silent, &[49, 53, 56, 61, 105, 117, 132, 152, 165]), [0; 0]);
 }
 
 #[test]
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -33,23 +33,23 @@
             product(REFERENCED, true),
         ],
         kinds: vec![
-            Kind { independent_routes: false, texts_per_call: 1 },
-            Kind { independent_routes: false, texts_per_call: 4 },
-            Kind { independent_routes: true, texts_per_call: 1 },
+            Kind { routes_apart: false, texts_per_call: 1 },
+            Kind { routes_apart: false, texts_per_call: 4 },
+            Kind { routes_apart: true, texts_per_call: 1 },
         ],
-        listed_rate: ListedRate::Unspecified,
+        listed_rate: ListedRate::Silent,
         must_subscribe: false,
-        max_list_request_interval: Span::millis(10_000),
+        must_ask_in: Span::millis(10_000),
         may_revoke: true,
-        rejection_cost: 0.0,
-        reports_limits: false,
-        max_retry_after: Some(Span::millis(2000)),
+        turned_away_price: 0.0,
+        tells_limits: false,
+        longest_advice: Some(Span::millis(2000)),
         tick: Span::millis(5),
-        keep_alive: Span::millis(10_000),
+        keeps_alive: Span::millis(10_000),
         cold_share: 0.2,
-        warm_up_time: Span::millis(10_000),
-        cold_overload_factor: 2.0,
-        in_doubt_key_pause: Span::millis(100),
+        cold_span: Span::millis(10_000),
+        tip_multiple: 2.0,
+        rest_after_doubt: Span::millis(100),
     }
 }
 
@@ -614,8 +614,8 @@
     // what the list says, what answers tell, calls that may go out in the first two seconds
     for (listed, told, least, most) in [
         (ListedRate::Exact, None, 3, 6),
-        (ListedRate::Unspecified, Some(3.0), 3, 7),
-        (ListedRate::Unspecified, None, 20, 99),
+        (ListedRate::Silent, Some(3.0), 3, 7),
+        (ListedRate::Silent, None, 20, 99),
     ] {
         let mut bench = Bench::new(Settings { listed_rate: listed, ..settings() }, 0);
         let entries = [0, 1].map(|n| Entry { units: 3.0, ..entry(n, 0, 0, Condition::Running) });
@@ -999,7 +999,7 @@
         (true, false, Some(300), true),
         (false, false, None, true),
     ] {
-        let mut bench = Bench::new(Settings { reports_limits: tells, ..settings() }, 0);
+        let mut bench = Bench::new(Settings { tells_limits: tells, ..settings() }, 0);
         for n in 0..5 {
             let out = submits(&bench.take(1, 0, 1));
             bench.now += 100.0;
@@ -1023,7 +1023,7 @@
 fn connections_of_lanes_that_are_held_back_are_shut_in_a_crowd() {
     // the rate told, whether a call found no room for its connection, whether connections are left open
     for (rate, crowd, kept) in [(10.0, true, false), (10.0, false, true), (5_000.0, true, true)] {
-        let mut bench = Bench::new(Settings { reports_limits: true, senders: 300, ..settings() }, 0);
+        let mut bench = Bench::new(Settings { tells_limits: true, senders: 300, ..settings() }, 0);
         let mut out = submits(&bench.take(12, 0, 1));
         for n in 0..5 {
             bench.now += 100.0;
@@ -1308,7 +1308,7 @@
 fn a_pace_is_cut_from_what_is_used_where_being_turned_away_costs() {
     for (price, told, held_back) in [(0.05, None, true), (0.0, None, false), (0.05, Some(400.0), true)] {
         let rate = ListedRate::Exact;
-        let known = Settings { listed_rate: rate, rejection_cost: price, senders: 4000, ..settings() };
+        let known = Settings { listed_rate: rate, turned_away_price: price, senders: 4000, ..settings() };
         let mut bench = Bench::new(known, 0);
         let mut listed = entry(2, 1, 0, Condition::Running);
         listed.units = 400.0;
@@ -1343,7 +1343,7 @@
 #[test]
 fn a_sender_takes_less_while_little_of_a_limit_is_left() {
     let went = |left: f64| {
-        let known = Settings { rejection_cost: 0.1, senders: 100, ..settings() };
+        let known = Settings { turned_away_price: 0.1, senders: 100, ..settings() };
         let mut bench = Bench::new(known, 0);
         bench.list(Scope::Complete, vec![entry(2, 1, 0, Condition::Running)]);
         (bench.told, bench.left) = (Some(100.0), left);
--- a/tests/window.rs
+++ b/tests/window.rs
@@ -24,15 +24,15 @@
         slots: 8,
         max_held: 200,
         products: vec![Product { sla_time: Span::millis(400), repeat, in_order: false, max_submits: 12 }],
-        kinds: vec![Kind { independent_routes: false, texts_per_call }],
-        max_retry_after: Some(Span::millis(1_000)),
+        kinds: vec![Kind { routes_apart: false, texts_per_call }],
+        longest_advice: Some(Span::millis(1_000)),
         may_revoke: true,
         tick: Span::millis(5),
-        keep_alive: Span::millis(10_000),
+        keeps_alive: Span::millis(10_000),
         cold_share: 1.0,
-        warm_up_time: Span::millis(1_000),
-        cold_overload_factor: 10.0,
-        in_doubt_key_pause: Span::millis(100),
+        cold_span: Span::millis(1_000),
+        tip_multiple: 10.0,
+        rest_after_doubt: Span::millis(100),
         ..Settings::default()
     }
 }
