--- a/crates/scale/src/roles/owed.rs
+++ b/crates/scale/src/roles/owed.rs
@@ -9,8 +9,8 @@
 use indigomast::api::*;
 use indigomast::time::{Moment, Span};
 use indigomast_journal::{Simulated, Store};
-use indigomast_sender::ids::Ids;
 use indigomast_sender::limits::{Grant, Limits};
+use indigomast_sender::request_ids::RequestIds;
 use indigomast_sender::text_journal::{TextInfo, TextJournal};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -57,19 +57,19 @@
         let (wal_bytes, wal_micros) = (meter.bytes_since(empty), meter.micros_since(empty));
 
         let before = meter.mark();
-        let mut ids = Ids::default();
+        let mut ids = RequestIds::default();
         for (text, owed) in journal.outstanding() {
-            ids.put(owed.info.id.clone(), TextId(*text), owed.info.fingerprint(&owed.body), true);
+            ids.insert(owed.info.id.clone(), TextId(*text), owed.info.fingerprint(&owed.body), true);
         }
         let id_bytes = meter.bytes_since(before);
 
         let settings = Settings { listed_rate: ListedRate::Silent, ..info(1, 0).decode() };
         let mut hollow = Hollow::new(settings, seed);
         hollow.listed(parse_list(&list_text(0, DESTINATIONS, 1, true), &site, &limits)?);
-        hollow.step(vec![Event::Quiet(true)]);
+        hollow.step(vec![Event::PauseSubmits(true)]);
         let before = meter.mark();
         for batch in texts.chunks(BATCH) {
-            let events = batch.iter().map(|text| Event::Taken(handed(*text, hollow.now)));
+            let events = batch.iter().map(|text| Event::Accepted(handed(*text, hollow.now)));
             hollow.step(events.collect());
             hollow.passes(Span::millis(1));
         }
@@ -78,7 +78,7 @@
 
         // All goes out as fast as answers come.
         let (start, mut delivered, mut numbers) = (meter.mark(), 0, BTreeMap::new());
-        let mut actions = hollow.step(vec![Event::Quiet(false)]);
+        let mut actions = hollow.step(vec![Event::PauseSubmits(false)]);
         while delivered < size {
             let out = submits(&actions, &mut numbers);
             if out.is_empty() && hollow.now > Moment::from_millis(0.0) + DAY {
@@ -91,7 +91,7 @@
             hollow.passes(LATENCY);
             for one in &out {
                 if let Some(owed) = journal.outstanding().get(&one.text.0) {
-                    ids.over(&owed.info.id);
+                    ids.mark_finished(&owed.info.id);
                 }
                 journal.record_end(one.text.0, None);
                 numbers.remove(&one.text);
@@ -123,7 +123,7 @@
             Event::Resumed(handed(*text, hollow.now), past)
         });
         let left = left.collect();
-        hollow.step(vec![Event::Quiet(true)]);
+        hollow.step(vec![Event::PauseSubmits(true)]);
         hollow.step(left);
         let restarted = meter.micros_since(start);
         if found != size {
@@ -147,9 +147,9 @@
     }
 }
 
-fn handed(text: usize, now: Moment) -> Handed {
+fn handed(text: usize, now: Moment) -> AcceptedText {
     let (text, dest) = (TextId(text), DestId(text % DESTINATIONS));
-    Handed { text, product: ProductId(0), dest, key: None, valid_until: now + DAY }
+    AcceptedText { text, product: ProductId(0), dest, key: None, valid_until: now + DAY }
 }
 
 /// Takes so many texts into a journal, some to each write.
--- a/crates/sender/src/decider.rs
+++ b/crates/sender/src/decider.rs
@@ -5,18 +5,18 @@
 use crate::config::{InForce, Site};
 use crate::control::{Order, Refusal};
 use crate::counters::Counters;
+use crate::endpoint_table::EndpointTable;
 use crate::figures::{Ends, Figures};
-use crate::handover::{HandoverState, Watch};
-use crate::ids::Ids;
+use crate::handover::{HandoverState, SuccessorWatch};
 use crate::intake::Intake;
-use crate::keys::Keys;
 use crate::limits::Limits;
 use crate::list::{self, Listed, Listing};
 use crate::list_file::ListKeeper;
 use crate::notices::Notice;
+use crate::ordering_keys::OrderingKeys;
 use crate::peer::{self, Peer, Trunk};
-use crate::places::Places;
-use crate::terms::{self, Table};
+use crate::product_table::{self, ProductTable};
+use crate::request_ids::RequestIds;
 use crate::text_journal::{self, AuxiliaryRecord, Report, TextInfo, TextJournal};
 use crate::{log, log_account, log_decision, log_request, log_state, threads};
 use crossbeam_channel::{Receiver, Sender, bounded};
@@ -48,27 +48,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It is in the log. Whoever asked says whether the client has heard of it.
-    Taken(TextId),
+    Accepted(TextId),
     /// Handed in before under this id, and taken on then.
-    Known,
+    AlreadyAccepted,
     /// Another text was handed in under this id, and that one was taken on.
-    Other,
+    IdConflict,
     Full,
     /// This sender could not answer for it just now: come back after so long.
-    Later(Span),
+    RetryAfter(Span),
     /// It is not taken on, but a part of it may be in the journal, and then a next life may send it: no promise is made.
-    Unsure,
+    Indeterminate,
     /// No list has ever named its destination.
-    NoSuchDest,
+    UnknownDestination,
 }
 
-pub enum Word {
+pub enum Message {
     HandIn(HandIn),
     /// The client has its answer, or has gone before.
-    Heard(TextId),
-    Gone(TextId),
+    AnswerDelivered(TextId),
+    AnswerLost(TextId),
     /// The client was sent away before the decider answered here. Not by its id: another may have come by it.
-    Abandoned(Receiver<Admission>),
+    RequestAbandoned(Receiver<Admission>),
     Outcome(Outcome),
     /// None where asking failed.
     Listed(Option<Listing>),
@@ -83,19 +83,19 @@
     Reported(Vec<TextId>),
     /// An operator's.
     Order(Order),
-    Settings(Box<Change>),
+    ChangeSettings(Box<SettingsChange>),
     Stop,
 }
 
 /// Settings to be put in force, and who is told whether they are.
-pub struct Change {
+pub struct SettingsChange {
     pub site: Site,
     pub reply: Sender<Result<(), String>>,
 }
 
 /// Brings the terms that the journal knows and those of the settings together, before anything is taken on under them.
 /// Terms that nothing at hand has any more are forgotten.
-pub fn settle(journal: &mut TextJournal, site: &mut Site, figures: &Figures) -> Table {
+pub fn reconcile_products(journal: &mut TextJournal, site: &mut Site, figures: &Figures) -> ProductTable {
     let known = |journal: &TextJournal| {
         let rows = journal.auxiliary_records().filter_map(|kept| match kept {
             AuxiliaryRecord::Terms { reference, terms } => Some((reference.clone(), terms.clone())),
@@ -103,8 +103,8 @@
         });
         rows.collect::<Vec<_>>()
     };
-    let mut all = Table::new(known(journal));
-    let in_force: BTreeSet<usize> = all.take(&site.info).into_iter().map(|product| product.0).collect();
+    let mut all = ProductTable::new(known(journal));
+    let in_force: BTreeSet<usize> = all.add_from(&site.info).into_iter().map(|product| product.0).collect();
     let owed: BTreeSet<String> =
         journal.outstanding().values().map(|owed| owed.info.product.clone()).collect();
     let wanted = |reference: &str| {
@@ -113,8 +113,8 @@
     journal.remove_auxiliary(
         |kept| matches!(kept, AuxiliaryRecord::Terms { reference, .. } if !wanted(reference)),
     );
-    let mut table = Table::new(known(journal));
-    let products = table.take(&site.info);
+    let mut table = ProductTable::new(known(journal));
+    let products = table.add_from(&site.info);
     for (reference, terms) in table.rows() {
         if !journal
             .add_auxiliary(AuxiliaryRecord::Terms { reference: reference.clone(), terms: terms.clone() })
@@ -126,7 +126,7 @@
     table
 }
 
-fn name_products(site: &mut Site, table: &Table, products: &[ProductId], figures: &Figures) {
+fn name_products(site: &mut Site, table: &ProductTable, products: &[ProductId], figures: &Figures) {
     let rows = || products.iter().map(|product| table.row(*product));
     site.references = rows().map(|(reference, _)| reference.clone()).collect();
     site.ends = rows().map(|(_, terms)| figures.product(&terms.name)).collect();
@@ -147,7 +147,7 @@
     pub counters: Arc<Counters>,
     pub figures: Arc<Figures>,
     pub site: Arc<InForce>,
-    pub table: Table,
+    pub table: ProductTable,
     pub trunk: Arc<Trunk>,
     pub list: Sender<list::Ask>,
     pub notices: Sender<Notice>,
@@ -163,7 +163,7 @@
 /// What it takes to let another process take over.
 pub struct Handover {
     pub folder: PathBuf,
-    pub watch: Watch,
+    pub watch: SuccessorWatch,
     pub machine: Incumbent,
     pub intake: Arc<Intake>,
 }
@@ -176,7 +176,7 @@
     figures: Arc<Figures>,
     site: Arc<Site>,
     in_force: Arc<InForce>,
-    table: Table,
+    table: ProductTable,
     /// By product, as the decisions number them.
     ends: Vec<Arc<Ends>>,
     trunk: Arc<Trunk>,
@@ -185,10 +185,10 @@
     journal: TextJournal,
     rules: Rules,
     texts_per_call: Vec<usize>,
-    places: Places,
-    ids: Ids,
+    endpoints: EndpointTable,
+    ids: RequestIds,
     dests: Names<u64>,
-    keys: Keys,
+    keys: OrderingKeys,
     gates: BTreeMap<String, VecDeque<(TextId, Gate)>>,
     /// Submits without an outcome.
     out: BTreeMap<(TextId, usize), EndpointId>,
@@ -222,7 +222,7 @@
 
 impl Decider {
     /// Reads back what an earlier life left, then works until told to stop and done with it.
-    pub fn run(self, words: Receiver<Word>) {
+    pub fn run(self, words: Receiver<Message>) {
         let site = self.site.get();
         let settings = Settings { products: self.table.products(), ..site.info.decode() };
         let ends = self.table.rows().iter().map(|(_, terms)| self.figures.product(&terms.name)).collect();
@@ -239,15 +239,21 @@
                     handover_state;
                 (
                     Rules::successor(settings, seed, learnt),
-                    Places::successor(endpoints, next_endpoint),
-                    Ids::successor(ids),
+                    EndpointTable::successor(endpoints, next_endpoint),
+                    RequestIds::successor(ids),
                     Names::of(dests),
-                    Keys::successor(keys, next_key),
+                    OrderingKeys::successor(keys, next_key),
                 )
             }
             None => {
                 let none = Names::of(Vec::new());
-                (Rules::new(settings, seed), Places::default(), Ids::default(), none, Keys::default())
+                (
+                    Rules::new(settings, seed),
+                    EndpointTable::default(),
+                    RequestIds::default(),
+                    none,
+                    OrderingKeys::default(),
+                )
             }
         };
         let mut desk = Desk {
@@ -266,7 +272,7 @@
             journal: self.journal,
             rules,
             texts_per_call,
-            places,
+            endpoints: places,
             ids,
             dests,
             keys,
@@ -289,7 +295,7 @@
         desk.resume();
         desk.decide();
         let left = desk.work(&words);
-        desk.places.all().into_iter().for_each(|at| desk.places.retire(at));
+        desk.endpoints.ids().into_iter().for_each(|at| desk.endpoints.retire(at));
         if left {
             // The lock goes with the process, not before: the next owner may submit what is still out here, and that is
             // over only once this process's connections are.
@@ -300,10 +306,10 @@
 
 impl Desk {
     /// Whether it left its place to another process.
-    fn work(&mut self, words: &Receiver<Word>) -> bool {
+    fn work(&mut self, words: &Receiver<Message>) -> bool {
         loop {
             let wait = self.wake.map_or(Span::ZERO, |at| at.since(self.clock.now()));
-            let mut heard: Vec<Word> = words.recv_timeout(duration(wait)).into_iter().collect();
+            let mut heard: Vec<Message> = words.recv_timeout(duration(wait)).into_iter().collect();
             let late = self.wake.map_or(Span::ZERO, |at| self.clock.now().since(at));
             if late > span(self.limits.stall) {
                 thread::sleep(self.limits.stall_pause);
@@ -313,21 +319,21 @@
             }
             heard.extend(words.try_iter().take(self.limits.mailbox));
             // An answer that has come is worth more than a time that is up.
-            let late = |word: &Word| matches!(word, Word::Outcome(o) if o.verdict == Verdict::TimeOut);
+            let late = |word: &Message| matches!(word, Message::Outcome(o) if o.verdict == Verdict::TimeOut);
             heard.sort_by_key(|word| match word {
                 // Before new texts: those taken on come first, and what ends there makes room.
-                Word::Outcome(_) if !late(word) => 0,
-                Word::Reported(_) => 0,
+                Message::Outcome(_) if !late(word) => 0,
+                Message::Reported(_) => 0,
                 _ if late(word) => 2,
                 _ => 1,
             });
             heard.into_iter().for_each(|word| self.hear(word));
-            self.keys.forget(self.limits.key_rest);
-            self.places.forget(self.limits.place_rest);
-            self.ids.forget(self.limits.id_rest, self.limits.texts);
+            self.keys.remove_expired(self.limits.key_rest);
+            self.endpoints.remove_expired(self.limits.place_rest);
+            self.ids.remove_expired(self.limits.id_rest, self.limits.texts);
             let now = self.clock.now();
             if self.wake.is_none_or(|at| at <= now) {
-                self.events.push(Event::Woken);
+                self.events.push(Event::TimerFired);
             }
             let since = self.stopping.map(|since| since.elapsed());
             if since.is_some_and(|since| since >= self.limits.stop_submits) {
@@ -350,10 +356,10 @@
     }
 
     /// Takes the next step towards another process's taking over; whether that was the last one.
-    fn hands_over(&mut self, words: &Receiver<Word>) -> bool {
+    fn hands_over(&mut self, words: &Receiver<Message>) -> bool {
         let now = self.clock.now();
         let Some(Handover { watch, machine, intake, folder }) = &mut self.handover else { return false };
-        let asked = watch.asked();
+        let asked = watch.successor_waits();
         let heard = machine.is_leaving() && intake.all_heard();
         let mut step = machine.step(now, Seen { asked, out: !self.out.is_empty(), heard });
         if step == Some(Step::Leave) {
@@ -397,14 +403,14 @@
     fn hold(&mut self, holds: Holds) {
         if holds != self.holds {
             self.holds = holds;
-            self.events.push(Event::Quiet(holds.handover || holds.journal));
+            self.events.push(Event::PauseSubmits(holds.handover || holds.journal));
         }
     }
 
     /// All that the next owner has to know beside the journal.
     fn handover_state(&self) -> HandoverState {
-        let (endpoints, next_endpoint) = self.places.known();
-        let (keys, next_key) = self.keys.left();
+        let (endpoints, next_endpoint) = self.endpoints.snapshot();
+        let (keys, next_key) = self.keys.snapshot();
         let names = |names: &Names<String>| (0..names.len()).map(|at| names.name(at).clone()).collect();
         HandoverState {
             kinds: names(&self.site.kinds),
@@ -415,8 +421,8 @@
             dests: (0..self.dests.len()).map(|at| *self.dests.name(at)).collect(),
             keys,
             next_key,
-            ids: self.ids.left(),
-            learnt: self.rules.learnt(),
+            ids: self.ids.finished(),
+            learnt: self.rules.learned_state(),
         }
     }
 
@@ -425,8 +431,8 @@
         self.figures.holds(self.journal.outstanding().len());
         if self.seen.is_none_or(|seen| seen.elapsed() >= self.limits.sight_beat) {
             self.seen = Some(Instant::now());
-            let avoided = self.places.listed().filter(|at| self.rules.avoids(*at)).count();
-            self.figures.sees(self.places.listed().count(), avoided);
+            let avoided = self.endpoints.listed().filter(|at| self.rules.avoids(*at)).count();
+            self.figures.sees(self.endpoints.listed().count(), avoided);
         }
     }
 
@@ -440,11 +446,11 @@
         since >= self.limits.stop_most || (since >= self.limits.stop_least && over)
     }
 
-    fn hear(&mut self, word: Word) {
+    fn hear(&mut self, word: Message) {
         match word {
-            Word::HandIn(text) => self.hand_in(text),
-            Word::Heard(text) => {
-                if !self.open(text, Admission::Known) {
+            Message::HandIn(text) => self.hand_in(text),
+            Message::AnswerDelivered(text) => {
+                if !self.open(text, Admission::AlreadyAccepted) {
                     return;
                 }
                 let Some(owed) = self.journal.outstanding().get(&text.0) else { return };
@@ -453,15 +459,15 @@
                 let handed = self.handed(text, &info);
                 let left = handed.valid_until.since(self.clock.now()).as_millis();
                 log_account!(text = text.0, dest = info.dest, left; "taken");
-                self.pass_gate(text, info.key.as_deref(), Some(Event::Taken(handed)));
+                self.pass_gate(text, info.key.as_deref(), Some(Event::Accepted(handed)));
             }
-            Word::Abandoned(answer) => {
+            Message::RequestAbandoned(answer) => {
                 // One that is not answered yet is met by the answer that finds nobody.
-                if let Ok(Admission::Taken(text)) = answer.try_recv() {
-                    self.hear(Word::Gone(text));
+                if let Ok(Admission::Accepted(text)) = answer.try_recv() {
+                    self.hear(Message::AnswerLost(text));
                 }
             }
-            Word::Gone(text) => {
+            Message::AnswerLost(text) => {
                 if !self.open(text, Admission::Full) {
                     return;
                 }
@@ -472,13 +478,13 @@
                 self.ids.remove(&id);
                 self.pass_gate(text, key.as_deref(), None);
             }
-            Word::Outcome(outcome) => {
-                self.came_back(outcome.text, outcome.submit);
-                let wait = outcome.told_wait.map_or(0.0, Span::as_millis);
+            Message::Outcome(outcome) => {
+                self.submit_ended(outcome.text, outcome.submit);
+                let wait = outcome.retry_after.map_or(0.0, Span::as_millis);
                 log_account!(
                     text = outcome.text.0, submit = outcome.submit, endpoint = outcome.endpoint.0,
                     verdict:? = outcome.verdict, wait, ms = outcome.latency.as_millis(),
-                    left = outcome.allowance.map_or(-1.0, |a| a.share_left),
+                    left = outcome.allowance.map_or(-1.0, |a| a.remaining_share),
                     rate = outcome.allowance.map_or(-1.0, |a| a.calls_per_sec);
                     "outcome"
                 );
@@ -500,28 +506,28 @@
                 }
                 self.events.push(Event::Outcome(outcome));
             }
-            Word::Listed(Some(listing)) => {
+            Message::Listed(Some(listing)) => {
                 self.revision = Some(listing.revision);
                 self.list_keeper.iter_mut().for_each(|keeper| keeper.told(listing.revision));
                 let scope = if listing.complete { Scope::Complete } else { Scope::Partial };
                 self.listed(scope, listing.members);
             }
-            Word::Drained(members) => {
+            Message::Drained(members) => {
                 self.listed(Scope::Partial, members);
-                self.list_keeper.iter_mut().for_each(|keeper| keeper.keep(self.places.serving()));
+                self.list_keeper.iter_mut().for_each(|keeper| keeper.keep(self.endpoints.serving()));
             }
-            Word::ListLease { until, as_of, failed } => {
+            Message::ListLease { until, as_of, failed } => {
                 self.events.push(Event::ListLease(until));
                 if let Some(keeper) = &mut self.list_keeper
                     && keeper.confirmed(as_of, failed)
                 {
-                    keeper.keep(self.places.serving());
+                    keeper.keep(self.endpoints.serving());
                 }
             }
-            Word::Listed(None) => {
-                self.events.push(Event::Listed { scope: Scope::Error, entries: Vec::new() })
+            Message::Listed(None) => {
+                self.events.push(Event::ListReceived { scope: Scope::Error, entries: Vec::new() })
             }
-            Word::Reported(texts) => {
+            Message::Reported(texts) => {
                 for text in texts {
                     self.counters.reported.add(1);
                     let Some(owed) = self.journal.outstanding().get(&text.0) else { continue };
@@ -532,17 +538,17 @@
                         _ => ends.deferred.add(1),
                     }
                     self.journal.record_reported(text.0);
-                    self.ids.over(&id);
+                    self.ids.mark_finished(&id);
                     self.pass_gate(text, key.as_deref(), None);
                     if let Some(key) = key {
                         self.keys.release(&key);
                     }
-                    self.events.push(Event::Told(text));
+                    self.events.push(Event::EndReported(text));
                 }
             }
-            Word::Order(order) => self.order(order),
-            Word::Settings(change) => self.change(*change),
-            Word::Stop => _ = self.stopping.get_or_insert_with(Instant::now),
+            Message::Order(order) => self.order(order),
+            Message::ChangeSettings(change) => self.change(*change),
+            Message::Stop => _ = self.stopping.get_or_insert_with(Instant::now),
         }
     }
 
@@ -550,14 +556,14 @@
     fn ends_of(&self, reference: &str) -> Arc<Ends> {
         match self.table.find(reference) {
             Some(product) => Arc::clone(&self.ends[product.0]),
-            None => self.figures.product(terms::name_of(reference)),
+            None => self.figures.product(product_table::product_name(reference)),
         }
     }
 
     /// Takes an endpoint out or gives it back. It is in force from now on: nothing new goes there in the step that writes
     /// the order down. The answer follows the journal.
     fn order(&mut self, order: Order) {
-        let known = self.places.find(&order.endpoint);
+        let known = self.endpoints.find(&order.endpoint);
         let is_out = self.out_by_hand().any(|name| name == order.endpoint);
         if known.is_none() && !is_out {
             _ = order.reply.try_send(Err(Refusal::UnknownEndpoint));
@@ -589,12 +595,12 @@
     }
 
     /// Tells the decisions; connections of one that was taken out end as they come to rest.
-    fn maintain(&mut self, name: &str, out: bool) {
-        let Some(endpoint) = self.places.find(name) else { return };
-        if out {
-            self.places.retire(endpoint);
+    fn maintain(&mut self, name: &str, out_of_service: bool) {
+        let Some(endpoint) = self.endpoints.find(name) else { return };
+        if out_of_service {
+            self.endpoints.retire(endpoint);
         }
-        self.events.push(Event::Maintained { endpoint, out });
+        self.events.push(Event::Maintenance { endpoint, out_of_service });
     }
 
     /// Answers the orders that are written now, and takes back those that could not be, or whose caller was told no
@@ -618,10 +624,10 @@
     }
 
     /// Puts other settings in force, or none of them.
-    fn change(&mut self, change: Change) {
-        let Change { mut site, reply } = change;
+    fn change(&mut self, change: SettingsChange) {
+        let SettingsChange { mut site, reply } = change;
         let before = self.table.len();
-        let products = self.table.take(&site.info);
+        let products = self.table.add_from(&site.info);
         let rows: Vec<AuxiliaryRecord> = self.table.rows()[before..]
             .iter()
             .map(|(reference, terms)| AuxiliaryRecord::Terms {
@@ -633,7 +639,7 @@
             && rows.iter().all(|row| self.journal.add_auxiliary(row.clone()));
         if !kept || !self.flush() {
             rows.iter().for_each(|row| self.journal.abandon_auxiliary(row));
-            self.table.cut_back(before);
+            self.table.truncate(before);
             _ = reply.try_send(Err("the journal has no room for other terms".into()));
             return;
         }
@@ -664,7 +670,7 @@
         let full = self.journal.unfinished() >= self.site.info.ceilings.most_held || late;
         let form = info.fingerprint(&body);
         if let Some(known) = self.ids.get(&info.id) {
-            if known.form != form {
+            if known.checksum != form {
                 self.counters.conflicts.add(1);
                 // Where this sender was slow, a stranger's text may have come in under the id of a client's own before
                 // that one was read: passed on, it would be void, and so would be all that travels with it. While
@@ -672,7 +678,7 @@
                 let unpromised = known.text.filter(|text| self.replies.iter().any(|(id, _)| id == text));
                 let undone = unpromised.is_some_and(|earlier| !known.proven && self.undo(earlier));
                 if !undone || !proven {
-                    _ = reply.try_send(Admission::Other);
+                    _ = reply.try_send(Admission::IdConflict);
                     return;
                 }
             } else {
@@ -681,13 +687,13 @@
                 match known.text.and_then(|known| self.unheard.get_mut(&known)) {
                     Some(others) if others.len() < self.limits.clients => others.push(reply),
                     Some(_) => _ = reply.try_send(Admission::Full),
-                    None => _ = reply.try_send(Admission::Known),
+                    None => _ = reply.try_send(Admission::AlreadyAccepted),
                 }
                 return;
             }
         }
         if !self.dests.knows(&info.dest) {
-            _ = reply.try_send(Admission::NoSuchDest);
+            _ = reply.try_send(Admission::UnknownDestination);
             return;
         }
         let now = self.clock.now();
@@ -698,7 +704,7 @@
             self.counters.turned_away_late.add(1);
             log_account!(dest = info.dest, why = "late"; "turned-away");
             log_request!(id = info.id, dest = info.dest, reason = "late"; "refused");
-            _ = reply.try_send(Admission::Later(again));
+            _ = reply.try_send(Admission::RetryAfter(again));
             return;
         }
         let (id, key) = (info.id.clone(), info.key.clone());
@@ -712,10 +718,10 @@
             _ = reply.try_send(Admission::Full);
             return;
         };
-        self.ids.put(id, text, form, proven);
+        self.ids.insert(id, text, form, proven);
         self.unheard.insert(text, Vec::new());
         if let Some(key) = key {
-            self.keys.place(&key);
+            self.keys.acquire(&key);
             self.gates.entry(key).or_default().push_back((text, Gate::Shut));
         }
         self.replies.push((text, reply));
@@ -725,16 +731,17 @@
     fn undo(&mut self, text: TextId) -> bool {
         let Some(owed) = self.journal.outstanding().get(&text.0) else { return false };
         let (id, key) = (owed.info.id.clone(), owed.info.key.clone());
-        self.replies.retain(|(other, reply)| *other != text || reply.try_send(Admission::Other).is_err());
-        self.open(text, Admission::Other);
+        self.replies
+            .retain(|(other, reply)| *other != text || reply.try_send(Admission::IdConflict).is_err());
+        self.open(text, Admission::IdConflict);
         self.over(text);
         self.ids.remove(&id);
         self.pass_gate(text, key.as_deref(), None);
         true
     }
 
-    fn handed(&mut self, text: TextId, info: &TextInfo) -> Handed {
-        Handed {
+    fn handed(&mut self, text: TextId, info: &TextInfo) -> AcceptedText {
+        AcceptedText {
             text,
             product: self.table.find(&info.product).expect("terms last as long as their texts"),
             dest: DestId(self.dests.place(&info.dest)),
@@ -770,7 +777,7 @@
     /// Nothing more is owed for a text, nor has a report to go.
     fn over(&mut self, text: TextId) {
         if let Some(owed) = self.journal.outstanding().get(&text.0) {
-            self.ids.over(&owed.info.id);
+            self.ids.mark_finished(&owed.info.id);
             if let Some(key) = &owed.info.key {
                 self.keys.release(key);
             }
@@ -788,9 +795,9 @@
                 self.journal.record_end(text.0, Some(Report::Undeliverable));
             }
             self.counters.resumed.add(1);
-            self.ids.put(info.id.clone(), text, info.fingerprint(&owed.body), true);
+            self.ids.insert(info.id.clone(), text, info.fingerprint(&owed.body), true);
             if let Some(key) = &info.key {
-                self.keys.place(key);
+                self.keys.acquire(key);
                 self.gates.entry(key.clone()).or_default().push_back((text, Gate::Shut));
             }
             match self.journal.outstanding().get(&text.0).and_then(|owed| owed.report) {
@@ -799,7 +806,7 @@
                     // Those behind it in its key wait for the report to be heard where they can be ended in time.
                     if self.table.find(&info.product).is_some() {
                         let handed = self.handed(text, info);
-                        self.pass_gate(text, info.key.as_deref(), Some(Event::Untold(handed)));
+                        self.pass_gate(text, info.key.as_deref(), Some(Event::UnreportedEnd(handed)));
                     }
                 }
                 None => {
@@ -821,26 +828,26 @@
         let mut told = BTreeSet::new();
         let out: Vec<String> = self.out_by_hand().map(str::to_owned).collect();
         for member in members {
-            if let Some(before) = self.places.replaced_by(&member) {
+            if let Some(before) = self.endpoints.remove_if_replaced(&member) {
                 entries.extend(self.deleted(before));
             }
-            let from = self.places.condition(&member.name);
+            let from = self.endpoints.condition(&member.name);
             if from != Some(member.condition) {
                 let (to, revision) = (member.condition, self.revision);
                 log_state!(endpoint = member.name, from:?, to:?, revision:?; "an endpoint changed its state");
             }
-            let (at, place) = self.places.put(&member);
+            let (at, place) = self.endpoints.upsert(&member);
             let (dest, condition, units) = (member.dest, member.condition, member.units);
             log_account!(endpoint = at.0, name = member.name, dest, kind = member.kind.0, condition:?, units; "listed");
             told.insert(at);
             let moved = member.address.is_some() && member.address != place.address;
             place.address = member.address.or(place.address);
             if moved {
-                self.places.retire(at);
+                self.endpoints.retire(at);
                 self.withhold_all(at);
             }
             if member.condition == Condition::Deleted {
-                self.places.leaves(at);
+                self.endpoints.mark_unlisted(at);
             }
             entries.push(Entry {
                 endpoint: at,
@@ -852,17 +859,17 @@
             });
         }
         if scope == Scope::Complete {
-            let off = self.places.all().into_iter().filter(|at| !told.contains(at));
-            off.for_each(|at| self.places.leaves(at));
+            let off = self.endpoints.ids().into_iter().filter(|at| !told.contains(at));
+            off.for_each(|at| self.endpoints.mark_unlisted(at));
         }
-        self.events.push(Event::Listed { scope, entries });
+        self.events.push(Event::ListReceived { scope, entries });
         // What is on the list anew is not known there as taken out.
         out.iter().for_each(|name| self.maintain(name, true));
     }
 
     /// What the decisions are told of an endpoint that is over though the list goes on to name another one like it.
     fn deleted(&mut self, endpoint: EndpointId) -> Option<Entry> {
-        let place = self.places.get(endpoint)?;
+        let place = self.endpoints.get(endpoint)?;
         let (dest, kind, zone, units) = (place.dest, place.kind, place.zone, place.units);
         let dest = DestId(self.dests.place(&dest));
         Some(Entry { endpoint, dest, kind, zone, units, condition: Condition::Deleted })
@@ -872,7 +879,7 @@
     fn withhold_all(&mut self, endpoint: EndpointId) {
         let out = self.out.iter().filter(|(_, to)| **to == endpoint);
         for submit in out.map(|(submit, _)| *submit).collect::<Vec<_>>() {
-            self.places.ask(endpoint, peer::Ask::Withhold(submit));
+            self.endpoints.send_to_peers(endpoint, peer::Ask::Withhold(submit));
         }
     }
 
@@ -885,12 +892,12 @@
         let mut asks: Vec<(EndpointId, peer::Ask)> = Vec::new();
         for action in self.rules.step(now, events) {
             match action {
-                Action::Submit { text, endpoint, time_out, leave_by, shares_connection } => {
-                    let Some(part) = self.submit(text, endpoint, at, now, (time_out, leave_by)) else {
+                Action::Submit { text, endpoint, time_out, send_deadline, shares_connection } => {
+                    let Some(part) = self.submit(text, endpoint, at, now, (time_out, send_deadline)) else {
                         log!("a submit for a text that is not at hand is dropped");
                         continue;
                     };
-                    let kind = self.places.get(endpoint).map_or(0, |place| place.kind.0);
+                    let kind = self.endpoints.get(endpoint).map_or(0, |place| place.kind.0);
                     let most = self.texts_per_call.get(kind).copied().unwrap_or(1);
                     let open = calls.iter_mut().rev().find(|(to, _)| *to == endpoint);
                     match open.filter(|(_, call)| call.parts.len() < most) {
@@ -898,9 +905,9 @@
                         None => calls.push((endpoint, Call::new(part, at, shares_connection))),
                     }
                 }
-                Action::Nack { text, come_back_after } => {
+                Action::Nack { text, retry_after } => {
                     self.counters.nacked.add(1);
-                    let again_ms = come_back_after.map(Span::as_millis);
+                    let again_ms = retry_after.map(Span::as_millis);
                     self.give_up(text, Report::Nacked { again_ms });
                 }
                 Action::Undeliverable { text } => {
@@ -911,7 +918,7 @@
                     let out = self.out.get(&(text, submit));
                     asks.extend(out.map(|endpoint| (*endpoint, peer::Ask::Revoke((text, submit)))));
                 }
-                Action::Withhold { text, submit } => {
+                Action::CancelUnsent { text, submit } => {
                     let out = self.out.get(&(text, submit));
                     asks.extend(out.map(|endpoint| (*endpoint, peer::Ask::Withhold((text, submit)))));
                 }
@@ -919,7 +926,7 @@
                 Action::Subscribe { on } => _ = self.list.try_send(list::Ask::Watch(on)),
                 Action::ReadList => _ = self.list.try_send(list::Ask::Read),
                 Action::WakeAt(at) => self.wake = Some(at),
-                Action::Note(note) => log!("{note}"),
+                Action::Log(note) => log!("{note}"),
                 // This protocol has neither probes nor words between senders.
                 Action::Probe { endpoint } => self.events.push(Event::Probed {
                     endpoint,
@@ -927,7 +934,7 @@
                     latency: Span::ZERO,
                     allowance: None,
                 }),
-                Action::Tell { .. } => {}
+                Action::SendToPeer { .. } => {}
             }
         }
         let written = self.flush();
@@ -936,9 +943,9 @@
             if written { self.carry(endpoint, call) } else { self.not_sent(endpoint, call) }
         }
         for (endpoint, ask) in asks {
-            self.places.ask(endpoint, ask);
+            self.endpoints.send_to_peers(endpoint, ask);
         }
-        self.places.ask_again();
+        self.endpoints.resend_queued();
     }
 
     fn submit(
@@ -947,7 +954,7 @@
         endpoint: EndpointId,
         at: Instant,
         now: Moment,
-        (time_out, leave_by): (Span, Moment),
+        (time_out, send_deadline): (Span, Moment),
     ) -> Option<Part> {
         let owed = self.journal.outstanding().get(&text.0)?;
         let part = Part {
@@ -957,10 +964,10 @@
             mark: owed.info.mark.clone(),
             body: Arc::clone(&owed.body),
             by: at + duration(time_out),
-            leave_by: at + duration(leave_by.since(now)),
+            send_deadline: at + duration(send_deadline.since(now)),
         };
-        let place = self.places.get(endpoint)?;
-        place.out += 1;
+        let place = self.endpoints.get(endpoint)?;
+        place.in_flight += 1;
         let zone = self.site.zones.name(place.zone.0);
         self.journal.record_submit(text.0, now, zone);
         self.out.insert((text, part.submit), endpoint);
@@ -974,7 +981,7 @@
     fn log_outcome(&mut self, outcome: &Outcome) {
         let Some(owed) = self.journal.outstanding().get(&outcome.text.0) else { return };
         let (id, submit, ms) = (&owed.info.id, outcome.submit, outcome.latency.as_millis());
-        let endpoint = self.places.get(outcome.endpoint).map(|place| place.name.as_str());
+        let endpoint = self.endpoints.get(outcome.endpoint).map(|place| place.name.as_str());
         log_request!(id, submit, endpoint:?, reason:? = outcome.verdict, in_doubt = outcome.in_doubt, ms; "call ended");
     }
 
@@ -1012,16 +1019,19 @@
         }
         for (text, reply) in std::mem::take(&mut self.replies) {
             if flushed.is_ok() {
-                if reply.try_send(Admission::Taken(text)).is_err() {
-                    self.hear(Word::Gone(text));
+                if reply.try_send(Admission::Accepted(text)).is_err() {
+                    self.hear(Message::AnswerLost(text));
                 }
                 continue;
             }
             let Some(owed) = self.journal.outstanding().get(&text.0) else { continue };
             let key = owed.info.key.clone();
             self.ids.remove(&owed.info.id);
-            let answer =
-                if self.journal.may_be_recovered(text.0) { Admission::Unsure } else { Admission::Full };
+            let answer = if self.journal.may_be_recovered(text.0) {
+                Admission::Indeterminate
+            } else {
+                Admission::Full
+            };
             self.open(text, answer);
             key.iter().for_each(|key| self.keys.release(key));
             self.journal.abandon(text.0);
@@ -1059,7 +1069,7 @@
     }
 
     fn carry(&mut self, endpoint: EndpointId, call: Call) {
-        let Some(place) = self.places.get(endpoint) else { return self.not_sent(endpoint, call) };
+        let Some(place) = self.endpoints.get(endpoint) else { return self.not_sent(endpoint, call) };
         if place.peer.is_none()
             && let Some(address) = place.address
         {
@@ -1082,15 +1092,15 @@
         }
     }
 
-    fn came_back(&mut self, text: TextId, submit: usize) {
-        let place = self.out.remove(&(text, submit)).and_then(|endpoint| self.places.get(endpoint));
-        place.into_iter().for_each(|place| place.came_back());
+    fn submit_ended(&mut self, text: TextId, submit: usize) {
+        let place = self.out.remove(&(text, submit)).and_then(|endpoint| self.endpoints.get(endpoint));
+        place.into_iter().for_each(|place| place.submit_ended());
     }
 
     /// The submits count, as the decisions have it, but nothing left.
     fn not_sent(&mut self, endpoint: EndpointId, call: Call) {
         for part in call.into_parts() {
-            self.came_back(part.text, part.submit);
+            self.submit_ended(part.text, part.submit);
             self.journal.record_never_ran(part.text.0, part.submit);
             self.counters.not_sent.add(1);
             self.events.push(Event::Outcome(Outcome {
@@ -1099,7 +1109,7 @@
                 endpoint,
                 verdict: Verdict::Moot,
                 in_doubt: false,
-                told_wait: None,
+                retry_after: None,
                 latency: Span::ZERO,
                 ended: false,
                 allowance: None,
--- a/crates/sender/src/text_journal.rs
+++ b/crates/sender/src/text_journal.rs
@@ -6,9 +6,9 @@
 
 use crate::limits::Limits;
 use crate::log;
-use crate::terms::Terms;
+use crate::product_table::ProductSettings;
 use crate::texts_log::{self, Carried};
-use indigomast::api::Past;
+use indigomast::api::SubmitHistory;
 use indigomast::time::Moment;
 use indigomast_journal::{Entry, Folder, Journal, Key, Recovered, Settings, Store};
 use serde::{Deserialize, Serialize};
@@ -54,7 +54,7 @@
     pub fn fingerprint(&self, body: &[u8]) -> u32 {
         let mut sum = crc32fast::Hasher::new();
         // Its terms may have changed between two tries of a client.
-        let product = crate::terms::name_of(&self.product);
+        let product = crate::product_table::product_name(&self.product);
         let parts = [Some(product), self.mark.as_deref(), self.key.as_deref()];
         for part in parts {
             // Lengths keep "a" "bc" from passing for "ab" "c".
@@ -79,7 +79,7 @@
 
 /// What the next life has to know of a text's submits. It takes the same room for one as for many.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct SubmitHistory {
+pub(crate) struct JournaledSubmits {
     pub submits: usize,
     /// The first submit before the last that may have run.
     pub doubt: Option<SubmitOrigin>,
@@ -87,7 +87,7 @@
     pub last: Option<SubmitOrigin>,
 }
 
-impl SubmitHistory {
+impl JournaledSubmits {
     /// The submit with this number, counted from 0; heard twice it counts once.
     pub(crate) fn submitted(&mut self, submit: usize, at_ms: f64, zone: String) {
         if submit >= self.submits {
@@ -110,7 +110,7 @@
     pub info: TextInfo,
     pub body: Arc<[u8]>,
     pub report: Option<Report>,
-    pub(crate) sent: SubmitHistory,
+    pub(crate) sent: JournaledSubmits,
     pub(crate) taken_ms: f64,
     bytes: u64,
 }
@@ -131,10 +131,10 @@
     }
 
     /// What the decisions have to know of earlier submits; those without an outcome may have run.
-    pub fn past(&self, zone: impl Fn(&str) -> indigomast::api::ZoneId) -> Past {
-        let doubt = self.sent.doubt.as_ref().or(self.sent.last.as_ref());
-        let doubt = doubt.map(|(at_ms, name)| (Moment::from_millis(*at_ms), zone(name)));
-        Past { submits: self.sent.submits, doubt }
+    pub fn past(&self, zone: impl Fn(&str) -> indigomast::api::ZoneId) -> SubmitHistory {
+        let first_in_doubt = self.sent.doubt.as_ref().or(self.sent.last.as_ref());
+        let first_in_doubt = first_in_doubt.map(|(at_ms, name)| (Moment::from_millis(*at_ms), zone(name)));
+        SubmitHistory { submits: self.sent.submits, first_in_doubt }
     }
 
     /// The latest time that it tells of, other than its own end.
@@ -158,7 +158,7 @@
     taken_ms: f64,
     #[serde(borrow)]
     info: StoredInfo<'a>,
-    sent: SubmitHistory,
+    sent: JournaledSubmits,
     report: Option<Report>,
 }
 
@@ -180,7 +180,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum AuxiliaryRecord {
     /// What a product's name in texts stands for.
-    Terms { reference: String, terms: Terms },
+    Terms { reference: String, terms: ProductSettings },
     /// Operators took this endpoint out and have not given it back.
     Out { endpoint: String },
 }
@@ -560,7 +560,7 @@
             info,
             body,
             report: None,
-            sent: SubmitHistory::default(),
+            sent: JournaledSubmits::default(),
             taken_ms,
             bytes: 0,
         })
--- a/crates/sender/tests/sender/edges.rs
+++ b/crates/sender/tests/sender/edges.rs
@@ -10,7 +10,7 @@
 use indigomast_admission::{Budget, Number, Purpose, State, Worth};
 use indigomast_sender::clock::Clock;
 use indigomast_sender::config::{Config, InForce};
-use indigomast_sender::decider::Word;
+use indigomast_sender::decider::Message;
 use indigomast_sender::intake::{Intake, PendingConnection};
 use indigomast_sender::reactor::Session;
 use indigomast_sender::text_journal::TextJournal;
@@ -79,7 +79,7 @@
             let journal = TextJournal::open(&folder.state(), &limits(), real - off).expect("opens");
             let owed = &journal.outstanding()[&text];
             let mut rules = Rules::new(settings(window), 1);
-            let handed = Handed {
+            let handed = AcceptedText {
                 text: TextId(text),
                 product: ProductId(0),
                 dest: DestId(0),
@@ -95,13 +95,13 @@
                 }
                 for action in rules.step(real - off, std::mem::take(&mut events)) {
                     match action {
-                        Action::Submit { leave_by, .. } => sent.push(leave_by + off),
+                        Action::Submit { send_deadline, .. } => sent.push(send_deadline + off),
                         Action::Nack { .. } | Action::Undeliverable { .. } => ended.push(real),
                         _ => {}
                     }
                 }
                 real += Span::millis(20);
-                events.push(Event::Woken);
+                events.push(Event::TimerFired);
             }
             let late: Vec<_> = sent.iter().filter(|by| **by > begin + window).collect();
             assert!(late.is_empty(), "set back by {back} ms in {gone} ms: may leave at {late:?}");
@@ -120,7 +120,7 @@
         units: 1.0,
         condition: Condition::Running,
     };
-    Event::Listed { scope: Scope::Complete, entries: vec![entry] }
+    Event::ListReceived { scope: Scope::Complete, entries: vec![entry] }
 }
 
 fn settings(memory: Span) -> Settings {
@@ -277,7 +277,7 @@
 
 /// An intake whose decider is the test, with room for one connection, which has it; nobody looks at it before the test has
 /// a reactor run. It is a new one, or one that rests after a text.
-fn intake(rests: bool) -> (Arc<Intake>, Receiver<Word>, TcpStream) {
+fn intake(rests: bool) -> (Arc<Intake>, Receiver<Message>, TcpStream) {
     let (_discovery, _endpoint, config, folder) = world();
     let Config { mut limits, site, .. } =
         Config::parse(&config.to_string(), folder.state()).expect("well-formed");
@@ -324,7 +324,7 @@
         let work = Arc::clone(&intake);
         let reactor = thread::spawn(move || work.reactor.run(&work));
         let seen = saw(&mut client, b"");
-        let handed = words.try_iter().any(|word| matches!(word, Word::HandIn(_)));
+        let handed = words.try_iter().any(|word| matches!(word, Message::HandIn(_)));
         assert_eq!((handed, seen), (false, expected), "rests: {rests}");
         intake.close(None);
         reactor.join().expect("no panic");
