--- a/crates/config/src/ends.rs
+++ b/crates/config/src/ends.rs
@@ -3,7 +3,7 @@
 //! The promise is the platform's: an end is told until it was heard, and the text's key waits for that. An end may be
 //! told twice, after an answer that was lost.
 
-use indigomast_sender::notices::{Answer, Notice, Post, Reporter};
+use indigomast_sender::notices::{HttpPoster, Notice, ReportResponse, Reporter};
 use indigomast_sender::text_journal::Report;
 use serde_json::json;
 use std::fs::OpenOptions;
@@ -27,14 +27,14 @@
 pub struct Callback {
     pub address: SocketAddr,
     pub path: String,
-    pub post: Post,
+    pub post: HttpPoster,
 }
 
 impl Reporter for Callback {
-    fn report(&mut self, batch: &[Notice]) -> Result<Answer, String> {
+    fn report(&mut self, batch: &[Notice]) -> Result<ReportResponse, String> {
         let body: String = batch.iter().map(line).collect();
         match self.post.post(self.address, &self.path, &body)? {
-            200..=299 => Ok(Answer::Heard),
+            200..=299 => Ok(ReportResponse::Accepted),
             // Whatever it finds fault with: an end that is owed is not dropped.
             other => Err(format!("{} answered with {other}", self.address)),
         }
@@ -47,7 +47,7 @@
 }
 
 impl Reporter for ToFile {
-    fn report(&mut self, batch: &[Notice]) -> Result<Answer, String> {
+    fn report(&mut self, batch: &[Notice]) -> Result<ReportResponse, String> {
         let told = |e: std::io::Error| format!("{}: {e}", self.path.display());
         let mut file = OpenOptions::new().create(true).append(true).open(&self.path).map_err(told)?;
         let length = file.metadata().map_err(told)?.len();
@@ -57,7 +57,7 @@
             // Half a line would spoil the first of those that come again.
             _ = file.set_len(length);
         }
-        written.map(|()| Answer::Heard).map_err(told)
+        written.map(|()| ReportResponse::Accepted).map_err(told)
     }
 }
 
--- a/crates/config/src/files.rs
+++ b/crates/config/src/files.rs
@@ -5,7 +5,7 @@
 use crate::lists::{Files, InForce, Said};
 use crossbeam_channel::{Receiver, RecvTimeoutError, bounded, select};
 use indigomast::time::Moment;
-use indigomast_sender::list::{Ask, Listing, Source, Teller};
+use indigomast_sender::list::{EndpointList, ListRequest, ListSink, ListSource};
 use notify::{RecursiveMode, Watcher};
 use std::fs;
 use std::io::ErrorKind;
@@ -63,12 +63,12 @@
     pub poll: Duration,
 }
 
-pub fn listing(revision: u64, gateways: &[Gateway]) -> Listing {
-    Listing { revision, complete: true, members: gateways.iter().map(Gateway::listed).collect() }
+pub fn listing(revision: u64, gateways: &[Gateway]) -> EndpointList {
+    EndpointList { revision, complete: true, members: gateways.iter().map(Gateway::listed).collect() }
 }
 
-impl Source for Watched {
-    fn run(self: Box<Self>, asks: Receiver<Ask>, teller: Teller) {
+impl ListSource for Watched {
+    fn run(self: Box<Self>, asks: Receiver<ListRequest>, list_sink: ListSink) {
         let Watched { place, mut in_force, poll } = *self;
         let (changed, changes) = bounded(1);
         // What it says is only that it is worth a look; with one waiting, another says nothing more.
@@ -103,9 +103,9 @@
                 default(wait) => Err(RecvTimeoutError::Timeout),
             };
             match asked {
-                Ok(Ask::Renew) => said.extend(in_force.confirmed()),
-                Ok(Ask::Read) => teller.tell(Some(listing(revision, in_force.running()))),
-                Ok(Ask::Watch(_)) | Err(_) => {}
+                Ok(ListRequest::Renew) => said.extend(in_force.confirmed()),
+                Ok(ListRequest::Read) => list_sink.publish(Some(listing(revision, in_force.running()))),
+                Ok(ListRequest::Watch(_)) | Err(_) => {}
             }
             wait = poll;
             said.extend(in_force.seen(now(), &place.look()));
@@ -114,10 +114,10 @@
                     Said::Swap(list) => {
                         revision += 1;
                         log::info!(target: "indigomast", gateways = list.len(); "a list was put into use");
-                        teller.tell(Some(listing(revision, &list)));
+                        list_sink.publish(Some(listing(revision, &list)));
                     }
                     Said::Rejected(complaints) => {
-                        teller.tell(None);
+                        list_sink.publish(None);
                         for complaint in &complaints {
                             log::warn!(target: "indigomast", "{complaint}");
                         }
@@ -146,11 +146,11 @@
     pub gateways: Vec<Gateway>,
 }
 
-impl Source for Fixed {
-    fn run(self: Box<Self>, asks: Receiver<Ask>, teller: Teller) {
+impl ListSource for Fixed {
+    fn run(self: Box<Self>, asks: Receiver<ListRequest>, list_sink: ListSink) {
         for ask in asks {
-            if !matches!(ask, Ask::Watch(_)) {
-                teller.tell(Some(listing(0, &self.gateways)));
+            if !matches!(ask, ListRequest::Watch(_)) {
+                list_sink.publish(Some(listing(0, &self.gateways)));
             }
         }
     }
--- a/crates/config/src/gateways.rs
+++ b/crates/config/src/gateways.rs
@@ -3,7 +3,7 @@
 use crate::choice;
 use crate::reader::{Complaint, Section, read_plain};
 use indigomast::api::{Condition, KindId, ZoneId};
-use indigomast_sender::list::Listed;
+use indigomast_sender::list::ListedEndpoint;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -27,8 +27,8 @@
 }
 
 impl Gateway {
-    pub fn listed(&self) -> Listed {
-        Listed {
+    pub fn listed(&self) -> ListedEndpoint {
+        ListedEndpoint {
             name: self.name.clone(),
             address: Some(self.address),
             dest: self.destination,
--- a/crates/config/src/installation.rs
+++ b/crates/config/src/installation.rs
@@ -10,9 +10,9 @@
 use indigomast_sender::clock::span;
 use indigomast_sender::config::{Config, Outside, Site};
 use indigomast_sender::limits::{ClientRules, Durable, Grant, JournalRules, Limits};
-use indigomast_sender::list::{Listing, Source};
+use indigomast_sender::list::{EndpointList, ListSource};
 use indigomast_sender::log::Format;
-use indigomast_sender::notices::{Post, Reporter};
+use indigomast_sender::notices::{HttpPoster, Reporter};
 use indigomast_site::{
     BootInfo, Category, Ceilings, FamilyInfo, MembershipMode, Obligations, Repeat, WeightKind,
 };
@@ -182,8 +182,8 @@
             log_lines_a_second: self.log.lines_a_second as u32,
             ..limits
         };
-        let nobody = Listing { revision: 0, complete: true, members: Vec::new() };
-        let (source, known): (Box<dyn Source>, Listing) = match self.from {
+        let nobody = EndpointList { revision: 0, complete: true, members: Vec::new() };
+        let (source, known): (Box<dyn ListSource>, EndpointList) = match self.from {
             From::Here => {
                 let known = listing(0, &self.gateways);
                 (Box::new(Fixed { gateways: self.gateways }), known)
@@ -219,7 +219,7 @@
                 });
             }
         };
-        let post = Post::new(Arc::new(limits.clone()));
+        let post = HttpPoster::new(Arc::new(limits.clone()));
         let reporter: Box<dyn Reporter> = match self.told {
             Told::File => Box::new(ToFile { path: self.ends_file }),
             Told::Callback => Box::new(Callback { address: self.callback, path: self.callback_path, post }),
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::figures::Ends;
 use crate::limits::{ClientRules, Grant, JournalRules, Limits};
-use crate::list::{self, Listing, Source};
+use crate::list::{self, EndpointList, ListSource};
 use crate::notices::Reporter;
 use crate::versions;
 use indigomast_site::{BootInfo, Complaint, Names, read};
@@ -36,7 +36,7 @@
     pub seed: u64,
     pub limits: Limits,
     pub site: Site,
-    pub known: Listing,
+    pub known: EndpointList,
     /// What the file it came from says, but not its values.
     pub keys: Keys,
     /// Tells it from other files.
@@ -48,7 +48,7 @@
     /// The platform's discovery, which is told as well.
     Platform(SocketAddr),
     Own {
-        source: Box<dyn Source>,
+        source: Box<dyn ListSource>,
         reporter: Box<dyn Reporter>,
     },
 }
@@ -218,7 +218,7 @@
     discovery: SocketAddr,
     seed: String,
     limits: Grant,
-    known: list::Page,
+    known: list::ListResponse,
     settings: BootInfo,
     /// Not among what a platform sends; for installations of one's own.
     #[serde(default)]
@@ -259,7 +259,7 @@
         let limits = site.limits(grant)?;
         let limits = limits.with_clients(file.clients).map_err(|e| format!("clients.{e}"))?;
         let limits = limits.with_journal(file.journal).map_err(|e| format!("journal.{e}"))?;
-        let known = Listing::of(file.known, &site, &limits).map_err(|e| format!("known.{e}"))?;
+        let known = EndpointList::of(file.known, &site, &limits).map_err(|e| format!("known.{e}"))?;
         Ok(Config {
             name: file.name,
             listen: file.listen,
--- a/crates/sender/src/decider.rs
+++ b/crates/sender/src/decider.rs
@@ -10,8 +10,8 @@
 use crate::handover::{HandoverState, SuccessorWatch};
 use crate::intake::Intake;
 use crate::limits::Limits;
-use crate::list::{self, Listed, Listing};
-use crate::list_file::ListKeeper;
+use crate::list::{self, EndpointList, ListedEndpoint};
+use crate::list_file::ListSaver;
 use crate::notices::Notice;
 use crate::ordering_keys::OrderingKeys;
 use crate::peer::{self, Peer, Trunk};
@@ -71,9 +71,9 @@
     RequestAbandoned(Receiver<Admission>),
     Outcome(Outcome),
     /// None where asking failed.
-    Listed(Option<Listing>),
+    Listed(Option<EndpointList>),
     /// Endpoints that drain or are gone, by an answer that was not whole: nothing else is known of the list.
-    Drained(Vec<Listed>),
+    Drained(Vec<ListedEndpoint>),
     /// Until when the list in force may be acted on, as of when it is whole, and whether a question has failed since.
     ListLease {
         until: Option<Moment>,
@@ -142,18 +142,18 @@
 pub struct Decider {
     pub clock: Clock,
     /// Where what is told of the list is kept for the next life; none where no platform tells it.
-    pub list_keeper: Option<ListKeeper>,
+    pub list_saver: Option<ListSaver>,
     pub limits: Arc<Limits>,
     pub counters: Arc<Counters>,
     pub figures: Arc<Figures>,
     pub site: Arc<InForce>,
     pub table: ProductTable,
     pub trunk: Arc<Trunk>,
-    pub list: Sender<list::Ask>,
+    pub list: Sender<list::ListRequest>,
     pub notices: Sender<Notice>,
     pub journal: TextJournal,
     pub seed: u64,
-    pub known: Listing,
+    pub known: EndpointList,
     /// What the process before left, if it left in order.
     pub handover_state: Option<HandoverState>,
     /// Where another process may take over.
@@ -170,7 +170,7 @@
 
 struct Desk {
     clock: Clock,
-    list_keeper: Option<ListKeeper>,
+    list_saver: Option<ListSaver>,
     limits: Arc<Limits>,
     counters: Arc<Counters>,
     figures: Arc<Figures>,
@@ -180,7 +180,7 @@
     /// By product, as the decisions number them.
     ends: Vec<Arc<Ends>>,
     trunk: Arc<Trunk>,
-    list: Sender<list::Ask>,
+    list: Sender<list::ListRequest>,
     notices: Sender<Notice>,
     journal: TextJournal,
     rules: Rules,
@@ -232,7 +232,7 @@
         let (seed, mut known, mut revision) = (self.seed, self.known.members, Some(self.known.revision));
         let (rules, places, ids, dests, keys) = match self.handover_state {
             Some(handover_state) => {
-                let listed = |one: &&(EndpointId, Listed)| one.1.condition != Condition::Deleted;
+                let listed = |one: &&(EndpointId, ListedEndpoint)| one.1.condition != Condition::Deleted;
                 known = handover_state.endpoints.iter().filter(listed).map(|(_, one)| one.clone()).collect();
                 revision = handover_state.revision;
                 let HandoverState { endpoints, next_endpoint, dests, keys, next_key, ids, learnt, .. } =
@@ -258,7 +258,7 @@
         };
         let mut desk = Desk {
             clock: self.clock,
-            list_keeper: self.list_keeper,
+            list_saver: self.list_saver,
             limits: self.limits,
             counters: self.counters,
             figures: self.figures,
@@ -508,20 +508,20 @@
             }
             Message::Listed(Some(listing)) => {
                 self.revision = Some(listing.revision);
-                self.list_keeper.iter_mut().for_each(|keeper| keeper.told(listing.revision));
+                self.list_saver.iter_mut().for_each(|saver| saver.record_revision(listing.revision));
                 let scope = if listing.complete { Scope::Complete } else { Scope::Partial };
                 self.listed(scope, listing.members);
             }
             Message::Drained(members) => {
                 self.listed(Scope::Partial, members);
-                self.list_keeper.iter_mut().for_each(|keeper| keeper.keep(self.endpoints.serving()));
+                self.list_saver.iter_mut().for_each(|saver| saver.save(self.endpoints.serving()));
             }
             Message::ListLease { until, as_of, failed } => {
                 self.events.push(Event::ListLease(until));
-                if let Some(keeper) = &mut self.list_keeper
-                    && keeper.confirmed(as_of, failed)
+                if let Some(saver) = &mut self.list_saver
+                    && saver.record_confirmation(as_of, failed)
                 {
-                    keeper.keep(self.endpoints.serving());
+                    saver.save(self.endpoints.serving());
                 }
             }
             Message::Listed(None) => {
@@ -823,7 +823,7 @@
         }
     }
 
-    fn listed(&mut self, scope: Scope, members: Vec<Listed>) {
+    fn listed(&mut self, scope: Scope, members: Vec<ListedEndpoint>) {
         let mut entries = Vec::new();
         let mut told = BTreeSet::new();
         let out: Vec<String> = self.out_by_hand().map(str::to_owned).collect();
@@ -923,8 +923,8 @@
                     asks.extend(out.map(|endpoint| (*endpoint, peer::Ask::Withhold((text, submit)))));
                 }
                 Action::CloseIdle { endpoint } => asks.push((endpoint, peer::Ask::CloseIdle)),
-                Action::Subscribe { on } => _ = self.list.try_send(list::Ask::Watch(on)),
-                Action::ReadList => _ = self.list.try_send(list::Ask::Read),
+                Action::Subscribe { on } => _ = self.list.try_send(list::ListRequest::Watch(on)),
+                Action::ReadList => _ = self.list.try_send(list::ListRequest::Read),
                 Action::WakeAt(at) => self.wake = Some(at),
                 Action::Log(note) => log!("{note}"),
                 // This protocol has neither probes nor words between senders.
--- a/crates/sender/src/endpoint_table.rs
+++ b/crates/sender/src/endpoint_table.rs
@@ -1,6 +1,6 @@
 //! The endpoints that the list has named, by name and by the small index under which the decisions know them.
 
-use crate::list::Listed;
+use crate::list::ListedEndpoint;
 use crate::peer::Ask;
 use crossbeam_channel::{Sender, TrySendError};
 use indigomast::api::{Condition, EndpointId, KindId, ZoneId};
@@ -75,13 +75,13 @@
 
 impl EndpointTable {
     /// The entry of an entry of the list, which is on it from now on.
-    pub fn upsert(&mut self, member: &Listed) -> (EndpointId, &mut EndpointEntry) {
+    pub fn upsert(&mut self, member: &ListedEndpoint) -> (EndpointId, &mut EndpointEntry) {
         let next = EndpointId(self.next);
         let at = *self.by_name.entry(member.name.clone()).or_insert(next);
         if at == next {
             self.next += 1;
         }
-        let Listed { kind, zone, dest, units, condition, .. } = *member;
+        let ListedEndpoint { kind, zone, dest, units, condition, .. } = *member;
         let new = || {
             let name = member.name.clone();
             EndpointEntry {
@@ -120,7 +120,7 @@
 
     /// Whether an endpoint of this name is known that belonged elsewhere: to another destination, kind or zone. It is over
     /// then, and what the list names is another one, which gets an index of its own.
-    pub fn remove_if_replaced(&mut self, member: &Listed) -> Option<EndpointId> {
+    pub fn remove_if_replaced(&mut self, member: &ListedEndpoint) -> Option<EndpointId> {
         let at = *self.by_name.get(&member.name)?;
         let entry = self.entries.get(&at)?;
         let same = (entry.dest, entry.kind, entry.zone) == (member.dest, member.kind, member.zone);
@@ -134,17 +134,17 @@
     }
 
     /// All of them, for the process that takes this one's entry; deleted are those that the list names no more.
-    pub fn snapshot(&self) -> (Vec<(EndpointId, Listed)>, usize) {
+    pub fn snapshot(&self) -> (Vec<(EndpointId, ListedEndpoint)>, usize) {
         let listed = |entry: &EndpointEntry| {
             let EndpointEntry { address, dest, kind, zone, units, .. } = *entry;
             let condition = if entry.unlisted_since.is_some() { Condition::Deleted } else { entry.condition };
-            Listed { name: entry.name.clone(), address, dest, kind, zone, units, condition }
+            ListedEndpoint { name: entry.name.clone(), address, dest, kind, zone, units, condition }
         };
         (self.entries.iter().map(|(at, entry)| (*at, listed(entry))).collect(), self.next)
     }
 
     /// Those of the process before, under their indices. What is listed of them is told anew.
-    pub fn successor(known: Vec<(EndpointId, Listed)>, next: usize) -> EndpointTable {
+    pub fn successor(known: Vec<(EndpointId, ListedEndpoint)>, next: usize) -> EndpointTable {
         let mut table = EndpointTable { next, ..EndpointTable::default() };
         for (at, one) in known {
             table.by_name.insert(one.name.clone(), at);
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -4,7 +4,7 @@
 //! a successor waits by a lock on a file of its own; owning is the lock on the journal. What the old one has learnt
 //! goes over in a file that is written and read under that lock only.
 
-use crate::list::Listed;
+use crate::list::ListedEndpoint;
 use crate::whole_file::{Lasting, replace};
 use indigomast::api::EndpointId;
 use indigomast::rules::LearnedState;
@@ -95,7 +95,7 @@
     /// Of the list, if it came from the discovery that is in force.
     pub revision: Option<u64>,
     /// As the list named each last; deleted is what it names no more.
-    pub endpoints: Vec<(EndpointId, Listed)>,
+    pub endpoints: Vec<(EndpointId, ListedEndpoint)>,
     pub next_endpoint: usize,
     pub dests: Vec<u64>,
     pub keys: Vec<(String, usize)>,
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -49,8 +49,8 @@
 use indigomast_admission::Budget;
 use indigomast_handover::{Incumbent, Move, Successor};
 use limits::Limits;
-use list::Source;
-use list_file::{LastList, ListKeeper};
+use list::ListSource;
+use list_file::{ListSaver, SavedList};
 use notices::Reporter;
 use platform::Platform;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -109,7 +109,7 @@
 #[derive(Clone)]
 pub struct Reloader {
     platform: Option<Arc<Platform>>,
-    list: crossbeam_channel::Sender<list::Ask>,
+    list: crossbeam_channel::Sender<list::ListRequest>,
     decider: Mailbox,
     in_force: Arc<InForce>,
     figures: Arc<Figures>,
@@ -162,7 +162,7 @@
 
     /// Has the source tell its list anew. What it held back for being doubtful is confirmed by that.
     pub fn renew(&self) {
-        _ = self.list.send(list::Ask::Renew);
+        _ = self.list.send(list::ListRequest::Renew);
     }
 }
 
@@ -259,18 +259,18 @@
         let threadless = |e: std::io::Error| format!("no thread: {e}");
         let stack = limits.stack;
 
-        let (mut platform, mut list_keeper) = (None, None);
-        let (source, reporter): (Box<dyn Source>, Box<dyn Reporter>) = match outside {
+        let (mut platform, mut list_saver) = (None, None);
+        let (source, reporter): (Box<dyn ListSource>, Box<dyn Reporter>) = match outside {
             Outside::Own { source, reporter } => (source, reporter),
             Outside::Platform(discovery) => {
-                let last = LastList::read(&state);
+                let last = SavedList::read(&state);
                 let overruled = last
                     .as_ref()
-                    .is_some_and(|last| last.overrules(&mut known.members, known.revision, discovery));
+                    .is_some_and(|last| last.stop_missing(&mut known.members, known.revision, discovery));
                 let there = Arc::clone(platform.insert(Arc::new(Platform::at(discovery))));
                 let (folder, tells) = (state.clone(), Arc::clone(&there));
-                list_keeper = Some(ListKeeper::new(folder, tells, last.as_ref(), known.revision));
-                let actor = list::List {
+                list_saver = Some(ListSaver::new(folder, tells, last.as_ref(), known.revision));
+                let actor = list::DiscoverySource {
                     platform: Arc::clone(&there),
                     site: Arc::clone(&in_force),
                     limits: Arc::clone(&limits),
@@ -280,15 +280,15 @@
                         None => Some(known.revision).filter(|_| !overruled),
                     },
                     clock,
-                    asked_in_vain: last.as_ref().is_some_and(|last| last.failed),
+                    query_failed: last.as_ref().is_some_and(|last| last.failed),
                     as_of: last.map_or(clock.now(), |last| last.as_of),
                 };
-                let post = notices::Post::new(Arc::clone(&limits));
-                (Box::new(actor), Box::new(notices::ToPlatform { platform: there, post }))
+                let post = notices::HttpPoster::new(Arc::clone(&limits));
+                (Box::new(actor), Box::new(notices::PlatformReporter { platform: there, post }))
             }
         };
-        let teller = list::Teller::new(decider.clone(), Arc::clone(&counters));
-        threads::actor("list", stack, &over, move || source.run(asks, teller)).map_err(threadless)?;
+        let list_sink = list::ListSink::new(decider.clone(), Arc::clone(&counters));
+        threads::actor("list", stack, &over, move || source.run(asks, list_sink)).map_err(threadless)?;
 
         let reloader = Reloader {
             platform,
@@ -300,7 +300,7 @@
             keys: Arc::new(Mutex::new(keys)),
             patience: limits.order_time,
         };
-        let actor = notices::Notices { reporter, limits: Arc::clone(&limits), decider: decider.clone() };
+        let actor = notices::Notifier { reporter, limits: Arc::clone(&limits), decider: decider.clone() };
         threads::actor("notices", stack, &over, move || actor.run(inbox)).map_err(threadless)?;
 
         let budget = Budget::new(limits.descriptors, limits.shares);
@@ -326,7 +326,7 @@
         };
         let actor = decider::Decider {
             clock,
-            list_keeper,
+            list_saver,
             limits: Arc::clone(&limits),
             counters: Arc::clone(&counters),
             figures: Arc::clone(&figures),
--- a/crates/sender/src/list.rs
+++ b/crates/sender/src/list.rs
@@ -26,7 +26,7 @@
 
 /// A list as the discovery service writes it.
 #[derive(Deserialize)]
-pub struct Page {
+pub struct ListResponse {
     revision: u64,
     complete: bool,
     members: Vec<Member>,
@@ -52,7 +52,7 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedEndpoint {
     pub name: String,
     /// None among those that are gone, which nobody calls any more.
     pub address: Option<SocketAddr>,
@@ -63,13 +63,13 @@
     pub condition: Condition,
 }
 
-impl Listed {
-    fn of(member: Member, site: &Site) -> Result<Listed, Complaint> {
+impl ListedEndpoint {
+    fn of(member: Member, site: &Site) -> Result<ListedEndpoint, Complaint> {
         let address = member.host_port.parse().ok();
         if address.is_none() && member.phase != Phase::Gone {
             return Err(format!("host_port: {:?} is no address", member.host_port));
         }
-        Ok(Listed {
+        Ok(ListedEndpoint {
             address,
             dest: member.cell,
             kind: KindId(site.kinds.find(&member.flavor, "flavor")?),
@@ -85,7 +85,7 @@
     }
 
     /// The entries that drain or are gone among those that are whole in what has come of an answer.
-    fn drained_in(answer: &[u8], site: &Site) -> Vec<Listed> {
+    fn drained_in(answer: &[u8], site: &Site) -> Vec<ListedEndpoint> {
         let mut found = Vec::new();
         let mut rest = answer;
         while let Some(start) = rest.iter().position(|byte| *byte == b'{') {
@@ -94,7 +94,7 @@
             match members.next() {
                 Some(Ok(member)) => {
                     rest = &rest[members.byte_offset()..];
-                    found.extend(Listed::of(member, site).ok());
+                    found.extend(ListedEndpoint::of(member, site).ok());
                 }
                 // The object around all entries, or one that is not whole.
                 _ => rest = &rest[1..],
@@ -106,21 +106,21 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Listing {
+pub struct EndpointList {
     pub revision: u64,
     pub complete: bool,
-    pub members: Vec<Listed>,
+    pub members: Vec<ListedEndpoint>,
 }
 
-impl Listing {
-    pub fn of(page: Page, site: &Site, limits: &Limits) -> Result<Listing, Complaint> {
+impl EndpointList {
+    pub fn of(page: ListResponse, site: &Site, limits: &Limits) -> Result<EndpointList, Complaint> {
         if page.members.len() > limits.endpoints {
             return Err(format!("members: {} are more than are looked after", page.members.len()));
         }
         let listed = |(at, member): (usize, Member)| {
-            Listed::of(member, site).map_err(|e| format!("members[{at}].{e}"))
+            ListedEndpoint::of(member, site).map_err(|e| format!("members[{at}].{e}"))
         };
-        Ok(Listing {
+        Ok(EndpointList {
             revision: page.revision,
             complete: page.complete,
             members: page.members.into_iter().enumerate().map(listed).collect::<Result<_, _>>()?,
@@ -130,20 +130,20 @@
 
 /// Where a list of endpoints comes from. An actor of its own: it tells what it knows unasked or when asked, as it is made,
 /// and ends when nobody can ask any more.
-pub trait Source: Send {
-    fn run(self: Box<Self>, asks: Receiver<Ask>, teller: Teller);
+pub trait ListSource: Send {
+    fn run(self: Box<Self>, asks: Receiver<ListRequest>, list_sink: ListSink);
 }
 
 /// The way from a source to the decisions.
 #[derive(Clone)]
-pub struct Teller {
+pub struct ListSink {
     decider: Mailbox,
     counters: Arc<Counters>,
 }
 
-impl Teller {
-    pub fn new(decider: Mailbox, counters: Arc<Counters>) -> Teller {
-        Teller { decider, counters }
+impl ListSink {
+    pub fn new(decider: Mailbox, counters: Arc<Counters>) -> ListSink {
+        ListSink { decider, counters }
     }
 
     /// A question was not answered, and is asked again unbidden.
@@ -152,7 +152,7 @@
     }
 
     /// Endpoints that drain or are gone, by an answer that is not whole, or came to a watch that is over.
-    fn drained(&self, members: Vec<Listed>) {
+    fn drained(&self, members: Vec<ListedEndpoint>) {
         if !members.is_empty() {
             _ = self.decider.send(Message::Drained(members));
         }
@@ -165,7 +165,7 @@
     }
 
     /// What the list says now; none where asking failed, and then the one in force stays.
-    pub fn tell(&self, listing: Option<Listing>) {
+    pub fn publish(&self, listing: Option<EndpointList>) {
         match &listing {
             Some(_) => self.counters.lists.add(1),
             None => self.counters.bad_lists.add(1),
@@ -175,7 +175,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub enum Ask {
+pub enum ListRequest {
     Watch(bool),
     Read,
     /// Discovery may be elsewhere now: what runs is over, and the next list has to be a whole one.
@@ -183,11 +183,11 @@
 }
 
 /// What the actor and its watcher share.
-struct Desk {
+struct DiscoveryClient {
     platform: Arc<Platform>,
     site: Arc<InForce>,
     limits: Arc<Limits>,
-    teller: Teller,
+    list_sink: ListSink,
     running: Mutex<Running>,
     schedule: Mutex<PollSchedule>,
     clock: Clock,
@@ -224,7 +224,7 @@
     }
 }
 
-pub struct List {
+pub struct DiscoverySource {
     pub platform: Arc<Platform>,
     pub site: Arc<InForce>,
     pub limits: Arc<Limits>,
@@ -233,13 +233,13 @@
     pub clock: Clock,
     /// As of when the list that is known is whole, and whether the process before has asked in vain since.
     pub as_of: Moment,
-    pub asked_in_vain: bool,
+    pub query_failed: bool,
 }
 
-impl Source for List {
+impl ListSource for DiscoverySource {
     /// Works through what is asked until nobody can ask any more.
-    fn run(self: Box<Self>, asks: Receiver<Ask>, teller: Teller) {
-        let List { platform, site, limits, revision, clock, as_of, asked_in_vain } = *self;
+    fn run(self: Box<Self>, asks: Receiver<ListRequest>, list_sink: ListSink) {
+        let DiscoverySource { platform, site, limits, revision, clock, as_of, query_failed } = *self;
         let unasked = !site.get().info.decode().must_subscribe;
         let revision = revision.map(|revision| (platform.address(), revision));
         let running = Mutex::new(Running { number: 0, stream: None, revision });
@@ -248,9 +248,9 @@
         let now = Instant::now();
         now.checked_sub(age).into_iter().for_each(|asked| poll_schedule.resumes(now, asked));
         let settings = lease_settings(&site.get(), &poll_schedule);
-        let lease = ListLease::new(settings, clock.now(), as_of, asked_in_vain);
+        let lease = ListLease::new(settings, clock.now(), as_of, query_failed);
         let (schedule, lease) = (Mutex::new(poll_schedule), Mutex::new(lease));
-        let desk = Desk { platform, site, limits, teller, running, schedule, clock, lease };
+        let desk = DiscoveryClient { platform, site, limits, list_sink, running, schedule, clock, lease };
         let desk = Arc::new(desk);
         desk.leases(|_, _| {});
         if unasked {
@@ -258,12 +258,12 @@
         }
         for ask in asks {
             match ask {
-                Ask::Watch(on) => desk.watch(on),
-                Ask::Renew => {
+                ListRequest::Watch(on) => desk.watch(on),
+                ListRequest::Renew => {
                     desk.renew();
                     desk.watch_anew();
                 }
-                Ask::Read => desk.read_once(),
+                ListRequest::Read => desk.read_once(),
             }
         }
         desk.watch(false);
@@ -296,11 +296,11 @@
     (PollSchedule::new(Instant::now(), info.ordinal, info.group_size, term), term)
 }
 
-impl Desk {
+impl DiscoveryClient {
     /// Under the lock on what runs: a watch that is replaced meanwhile has told before, or tells no more.
-    fn tell(&self, running: &mut Running, address: SocketAddr, listing: Listing) {
+    fn tell(&self, running: &mut Running, address: SocketAddr, listing: EndpointList) {
         running.revision = Some((address, listing.revision));
-        self.teller.tell(Some(listing));
+        self.list_sink.publish(Some(listing));
     }
 
     /// Takes note of something about the list's age, and tells until when the list is good.
@@ -308,7 +308,7 @@
         let mut lease = self.lease.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.clock.now();
         note(&mut lease, now);
-        self.teller.lease(&lease, now);
+        self.list_sink.lease(&lease, now);
     }
 
     /// One question outside of the watch.
@@ -321,7 +321,7 @@
             }
             Err((_, e)) => {
                 log!("reading the list failed: {e}");
-                self.teller.tell(None);
+                self.list_sink.publish(None);
             }
         }
     }
@@ -349,7 +349,7 @@
         self.running.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn watch(self: &Arc<Desk>, on: bool) {
+    fn watch(self: &Arc<DiscoveryClient>, on: bool) {
         let number = self.running().replace();
         if on {
             self.begin(number);
@@ -357,7 +357,7 @@
     }
 
     /// Begins with the whole list.
-    fn watch_anew(self: &Arc<Desk>) {
+    fn watch_anew(self: &Arc<DiscoveryClient>) {
         let mut running = self.running();
         running.revision = None;
         let number = running.replace();
@@ -365,11 +365,11 @@
         self.begin(number);
     }
 
-    fn begin(self: &Arc<Desk>, number: u64) {
+    fn begin(self: &Arc<DiscoveryClient>, number: u64) {
         let desk = Arc::clone(self);
         if threads::spawn("watch", self.limits.stack, move || desk.keep_watch(number)).is_err() {
             log!("no thread for the watch on the list");
-            self.teller.tell(None);
+            self.list_sink.publish(None);
         }
     }
 
@@ -402,15 +402,15 @@
                 drop(running);
                 // But that an endpoint drains was written to this sender, and no discovery says otherwise.
                 let members = asked.map_or_else(|_| Vec::new(), |(_, listing)| listing.members);
-                let drains = |member: &Listed| member.condition != Condition::Running;
-                return self.teller.drained(members.into_iter().filter(drains).collect());
+                let drains = |member: &ListedEndpoint| member.condition != Condition::Running;
+                return self.list_sink.drained(members.into_iter().filter(drains).collect());
             }
             let reply = asked.as_ref().map_or_else(|(reply, _)| *reply, |_| Reply::Told);
             self.schedule().answered(Instant::now(), reply);
             match asked {
                 Ok((address, listing)) => {
                     self.log_told(&listing, since);
-                    self.teller.counters.list.holds(listing.revision, since);
+                    self.list_sink.counters.list.holds(listing.revision, since);
                     self.tell(&mut running, address, listing);
                     // A watch that ran its whole time would have been answered sooner had something changed.
                     let as_of = if watches && since.elapsed() >= hold { since + hold } else { since };
@@ -421,7 +421,7 @@
                     self.log_failure(reply, &e, since);
                     self.leases(|lease, now| lease.failed(now, failure(reply)));
                     // It is asked again unbidden, and the list in force stays.
-                    self.teller.missed();
+                    self.list_sink.missed();
                     if watches {
                         // Where it was long in coming what changed meanwhile counts as told by now.
                         thread::sleep(self.limits.watch_pause.saturating_sub(since.elapsed()));
@@ -431,7 +431,7 @@
         }
     }
 
-    fn log_told(&self, listing: &Listing, asked: Instant) {
+    fn log_told(&self, listing: &EndpointList, asked: Instant) {
         log_state!(
             revision = listing.revision, complete = listing.complete, entries = listing.members.len(),
             after_ms = asked.elapsed().as_millis();
@@ -441,7 +441,7 @@
 
     /// With which list the sender goes on, and when it asks again.
     fn log_failure(&self, reply: Reply, complaint: &str, asked: Instant) {
-        let held = self.teller.counters.list.get();
+        let held = self.list_sink.counters.list.get();
         log!(
             reply:?, after_ms = asked.elapsed().as_millis(),
             revision = held.map_or(-1, |(revision, _)| revision as i64),
@@ -453,7 +453,11 @@
 
     /// One question: for changes with a hold, else, or where nothing known goes on, for the whole list. Where there is none
     /// the schedule is told why.
-    fn ask(&self, watch: u64, hold: Option<Duration>) -> Result<(SocketAddr, Listing), (Reply, Complaint)> {
+    fn ask(
+        &self,
+        watch: u64,
+        hold: Option<Duration>,
+    ) -> Result<(SocketAddr, EndpointList), (Reply, Complaint)> {
         let from = Instant::now();
         let listing = self.question(watch, hold);
         let told = listing.as_ref().map_or(-1, |(_, listing)| listing.members.len() as i64);
@@ -467,7 +471,7 @@
         &self,
         watch: u64,
         hold: Option<Duration>,
-    ) -> Result<(SocketAddr, Listing), (Reply, Complaint)> {
+    ) -> Result<(SocketAddr, EndpointList), (Reply, Complaint)> {
         let limits = &*self.limits;
         let address = self.platform.address();
         // A reload moves the address before the watch hears of it.
@@ -510,7 +514,7 @@
             return Err((Reply::TurnedAway, format!("answered with {}", head.status)));
         }
         let listing = self.read(&body, hold.is_none()).map_err(|e| {
-            self.teller.drained(Listed::drained_in(&body, &self.site.get()));
+            self.list_sink.drained(ListedEndpoint::drained_in(&body, &self.site.get()));
             (Reply::Broken, e)
         })?;
         Ok((address, listing))
@@ -529,7 +533,7 @@
             let received = open.received();
             if head.status == 200 && received.len() > looked_at {
                 looked_at = received.len();
-                self.teller.drained(Listed::drained_in(received, &self.site.get()));
+                self.list_sink.drained(ListedEndpoint::drained_in(received, &self.site.get()));
             }
             if !matches!(fault, Fault::Late) || look >= by {
                 return Err(fault);
@@ -537,9 +541,9 @@
         }
     }
 
-    fn read(&self, body: &[u8], whole: bool) -> Result<Listing, Complaint> {
+    fn read(&self, body: &[u8], whole: bool) -> Result<EndpointList, Complaint> {
         let text = std::str::from_utf8(body).map_err(|e| e.to_string())?;
-        let listing = Listing::of(read(text)?, &self.site.get(), &self.limits)?;
+        let listing = EndpointList::of(read(text)?, &self.site.get(), &self.limits)?;
         if whole && !listing.complete {
             return Err("changes came where the whole list was asked for".into());
         }
--- a/crates/sender/src/list_file.rs
+++ b/crates/sender/src/list_file.rs
@@ -4,7 +4,7 @@
 //! then may be called by it. So the folder that lasts keeps the names of the endpoints that served, and as of when: what is not among
 //! them serves again once a list says so.
 
-use crate::list::Listed;
+use crate::list::ListedEndpoint;
 use crate::log;
 use crate::platform::Platform;
 use crate::whole_file::{Lasting, replace};
@@ -25,7 +25,7 @@
 
 /// What one life leaves to the next.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LastList {
+pub struct SavedList {
     pub revision: u64,
     /// Who told it: another discovery counts otherwise.
     pub told_by: SocketAddr,
@@ -36,9 +36,9 @@
     pub serving: BTreeSet<String>,
 }
 
-impl LastList {
+impl SavedList {
     /// What the life before left; none where it left nothing that can be read.
-    pub fn read(folder: &Path) -> Option<LastList> {
+    pub fn read(folder: &Path) -> Option<SavedList> {
         let text = fs::read_to_string(folder.join(FILE)).ok()?;
         let (body, sum) = text.strip_prefix(HEAD)?.strip_prefix('\n')?.rsplit_once("sum ")?;
         let sum = u32::from_str_radix(sum.trim_end(), 16).ok()?;
@@ -52,7 +52,7 @@
         let as_of = first.next()?.parse::<f64>().ok().filter(|at| at.is_finite())?;
         let failed = first.next()? == "failed";
         let serving = lines.map(str::to_owned).collect();
-        Some(LastList { revision, told_by, as_of: Moment::from_millis(as_of), failed, serving })
+        Some(SavedList { revision, told_by, as_of: Moment::from_millis(as_of), failed, serving })
     }
 
     /// # Errors
@@ -70,7 +70,7 @@
 
     /// Takes out of service those of a list that this life no longer knew as serving, unless the list is newer; whether there
     /// were any.
-    pub fn overrules(&self, members: &mut [Listed], revision: u64, listed_by: SocketAddr) -> bool {
+    pub fn stop_missing(&self, members: &mut [ListedEndpoint], revision: u64, listed_by: SocketAddr) -> bool {
         if listed_by == self.told_by && revision > self.revision {
             return false;
         }
@@ -84,17 +84,17 @@
 }
 
 /// Keeps the list of a life that runs for the next one.
-pub struct ListKeeper {
+pub struct ListSaver {
     folder: PathBuf,
     platform: Arc<Platform>,
-    last: LastList,
+    last: SavedList,
 }
 
-impl ListKeeper {
+impl ListSaver {
     /// For a life that begins with a list of this revision, and with what the life before left.
-    pub fn new(folder: PathBuf, platform: Arc<Platform>, left: Option<&LastList>, known: u64) -> ListKeeper {
+    pub fn new(folder: PathBuf, platform: Arc<Platform>, left: Option<&SavedList>, known: u64) -> ListSaver {
         let told_by = platform.address();
-        let none = LastList {
+        let none = SavedList {
             revision: known,
             told_by,
             as_of: Moment::default(),
@@ -103,21 +103,21 @@
         };
         let last = match left {
             Some(left) if left.told_by == told_by => {
-                LastList { revision: left.revision.max(known), ..left.clone() }
+                SavedList { revision: left.revision.max(known), ..left.clone() }
             }
-            Some(left) => LastList { as_of: left.as_of, failed: left.failed, ..none },
+            Some(left) => SavedList { as_of: left.as_of, failed: left.failed, ..none },
             None => none,
         };
-        ListKeeper { folder, platform, last }
+        ListSaver { folder, platform, last }
     }
 
     /// A list with this revision was told.
-    pub fn told(&mut self, revision: u64) {
+    pub fn record_revision(&mut self, revision: u64) {
         self.last.revision = revision;
     }
 
     /// The list is whole as of this moment, and whether a question has failed since; whether that is news worth keeping.
-    pub fn confirmed(&mut self, as_of: Moment, failed: bool) -> bool {
+    pub fn record_confirmation(&mut self, as_of: Moment, failed: bool) -> bool {
         let is_news = as_of > self.last.as_of || (failed && !self.last.failed);
         if is_news {
             self.last.as_of = self.last.as_of.max(as_of);
@@ -127,7 +127,7 @@
     }
 
     /// Writes down which endpoints serve now, beside what was told.
-    pub fn keep<'a>(&mut self, serving: impl Iterator<Item = &'a str>) {
+    pub fn save<'a>(&mut self, serving: impl Iterator<Item = &'a str>) {
         self.last.serving = serving.map(str::to_owned).collect();
         self.last.told_by = self.platform.address();
         if let Err(e) = self.last.write(&self.folder) {
--- a/crates/sender/src/list_file/tests.rs
+++ b/crates/sender/src/list_file/tests.rs
@@ -4,9 +4,9 @@
 const HERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 8500);
 const ELSEWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 8501);
 
-fn last() -> LastList {
+fn last() -> SavedList {
     let serving = ["e1", "e2"].map(str::to_owned).into();
-    LastList { revision: 43, told_by: HERE, as_of: Moment::from_millis(1_000.5), failed: true, serving }
+    SavedList { revision: 43, told_by: HERE, as_of: Moment::from_millis(1_000.5), failed: true, serving }
 }
 
 fn folder(name: &str) -> std::path::PathBuf {
@@ -15,8 +15,8 @@
     folder
 }
 
-fn listed(name: &str) -> Listed {
-    Listed {
+fn listed(name: &str) -> ListedEndpoint {
+    ListedEndpoint {
         name: name.into(),
         address: Some(HERE),
         dest: 0,
@@ -30,12 +30,12 @@
 #[test]
 fn what_one_life_leaves_the_next_reads() {
     let folder = folder("reads");
-    assert_eq!(LastList::read(&folder), None);
+    assert_eq!(SavedList::read(&folder), None);
     last().write(&folder).expect("written");
-    assert_eq!(LastList::read(&folder), Some(last()));
+    assert_eq!(SavedList::read(&folder), Some(last()));
     let text = fs::read_to_string(folder.join(FILE)).expect("there");
     fs::write(folder.join(FILE), &text[..text.len() - 20]).expect("written");
-    assert_eq!(LastList::read(&folder), None, "half of it");
+    assert_eq!(SavedList::read(&folder), None, "half of it");
     fs::remove_dir_all(folder).expect("ours");
 }
 
@@ -45,7 +45,7 @@
         [(41, HERE, true), (43, HERE, true), (44, HERE, false), (99, ELSEWHERE, true)]
     {
         let mut members = ["e0", "e1"].map(listed);
-        assert_eq!(last().overrules(&mut members, revision, by), overruled, "{revision} {by}");
+        assert_eq!(last().stop_missing(&mut members, revision, by), overruled, "{revision} {by}");
         let expected = if overruled { Condition::Stopping } else { Condition::Running };
         assert_eq!(members[0].condition, expected);
         assert_eq!(members[1].condition, Condition::Running);
--- a/crates/sender/src/notices.rs
+++ b/crates/sender/src/notices.rs
@@ -45,23 +45,23 @@
 /// Whoever is told how texts ended.
 pub trait Reporter: Send {
     /// Tells of these, all or none. On an error, which says what went wrong, they are told again.
-    fn report(&mut self, batch: &[Notice]) -> Result<Answer, String>;
+    fn report(&mut self, batch: &[Notice]) -> Result<ReportResponse, String>;
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
-    Heard,
+pub enum ReportResponse {
+    Accepted,
     /// One of them at least can't be read there: told alone, it is dropped.
     Unreadable,
 }
 
-pub struct Notices {
+pub struct Notifier {
     pub reporter: Box<dyn Reporter>,
     pub limits: Arc<Limits>,
     pub decider: Mailbox,
 }
 
-impl Notices {
+impl Notifier {
     pub fn run(mut self, inbox: Receiver<Notice>) {
         while let Ok(first) = inbox.recv() {
             let mut batch = vec![first];
@@ -75,15 +75,15 @@
         let mut pause = self.limits.report_pause;
         loop {
             match self.reporter.report(&batch) {
-                Ok(Answer::Heard) => {
+                Ok(ReportResponse::Accepted) => {
                     _ = self.decider.send(Message::Reported(batch.iter().map(|n| n.text).collect()));
                     return;
                 }
-                Ok(Answer::Unreadable) if batch.len() > 1 => {
+                Ok(ReportResponse::Unreadable) if batch.len() > 1 => {
                     // One that can't be read would hold back all others.
                     return batch.into_iter().for_each(|notice| self.see_through(vec![notice]));
                 }
-                Ok(Answer::Unreadable) => {
+                Ok(ReportResponse::Unreadable) => {
                     log!("the notice for {} can't be read by the platform and is dropped", batch[0].id);
                     _ = self.decider.send(Message::Reported(vec![batch[0].text]));
                     return;
@@ -100,13 +100,13 @@
 
 /// Requests with a body, each on a connection of its own: their answers name nothing, and one too many, as a second copy, would
 /// be taken for the answer to the next request.
-pub struct Post {
+pub struct HttpPoster {
     limits: Arc<Limits>,
 }
 
-impl Post {
-    pub fn new(limits: Arc<Limits>) -> Post {
-        Post { limits }
+impl HttpPoster {
+    pub fn new(limits: Arc<Limits>) -> HttpPoster {
+        HttpPoster { limits }
     }
 
     /// The status of the answer.
@@ -129,17 +129,17 @@
 }
 
 /// The platform, by its own protocol.
-pub struct ToPlatform {
+pub struct PlatformReporter {
     pub platform: Arc<Platform>,
-    pub post: Post,
+    pub post: HttpPoster,
 }
 
-impl Reporter for ToPlatform {
-    fn report(&mut self, batch: &[Notice]) -> Result<Answer, String> {
+impl Reporter for PlatformReporter {
+    fn report(&mut self, batch: &[Notice]) -> Result<ReportResponse, String> {
         let body: String = batch.iter().map(Notice::line).collect();
         match self.post.post(self.platform.address(), "/reports", &body)? {
-            204 => Ok(Answer::Heard),
-            400 => Ok(Answer::Unreadable),
+            204 => Ok(ReportResponse::Accepted),
+            400 => Ok(ReportResponse::Unreadable),
             other => Err(format!("answered with {other}")),
         }
     }
--- a/crates/sender/tests/sender/crossings.rs
+++ b/crates/sender/tests/sender/crossings.rs
@@ -8,7 +8,7 @@
 use indigomast_sender::config::{Config, InForce};
 use indigomast_sender::decider::Message;
 use indigomast_sender::endpoint_table::EndpointTable;
-use indigomast_sender::list::{self, List, Listed, Source, Teller};
+use indigomast_sender::list::{self, DiscoverySource, ListSink, ListSource, ListedEndpoint};
 use indigomast_sender::peer::Ask;
 use indigomast_sender::platform::Platform;
 use serde_json::{Value, json};
@@ -74,8 +74,8 @@
     }
 }
 
-fn listed(name: &str) -> Listed {
-    Listed {
+fn listed(name: &str) -> ListedEndpoint {
+    ListedEndpoint {
         name: name.into(),
         address: None,
         dest: 0,
@@ -140,19 +140,19 @@
     let folder = Folder::new();
     let Config { limits, site, .. } = Config::parse(&file, folder.state()).expect("well-formed");
     let platform = Arc::new(Platform::at(before.address));
-    let list = List {
+    let list = DiscoverySource {
         platform: Arc::clone(&platform),
         site: Arc::new(InForce::new(site)),
         limits: Arc::new(limits),
         revision: Some(41),
         clock: Clock::start(),
         as_of: Clock::start().now(),
-        asked_in_vain: false,
+        query_failed: false,
     };
     let ((decider, words), (asking, asks)) = (unbounded(), unbounded());
-    let teller = Teller::new(decider, Arc::default());
-    let actor = thread::spawn(move || Box::new(list).run(asks, teller));
-    asking.send(list::Ask::Watch(true)).expect("it listens");
+    let list_sink = ListSink::new(decider, Arc::default());
+    let actor = thread::spawn(move || Box::new(list).run(asks, list_sink));
+    asking.send(list::ListRequest::Watch(true)).expect("it listens");
     let watch = before.next();
     assert_eq!(watch.request.path, "/discovery/hosts?from=41&hold_ms=4000");
     platform.moves(after.address);
@@ -162,7 +162,7 @@
     assert_eq!(first.request.path, "/discovery/hosts", "not from what another one told");
     first.answer(ok_json(r#"{"revision":7,"complete":true,"members":[]}"#));
     assert_eq!(after.next().request.path, "/discovery/hosts?from=7&hold_ms=4000");
-    asking.send(list::Ask::Renew).expect("it listens");
+    asking.send(list::ListRequest::Renew).expect("it listens");
     assert_eq!(after.next().request.path, "/discovery/hosts", "and anew when the news comes");
     let revisions: Vec<u64> = words
         .try_iter()
--- a/crates/sender/tests/sender/parts.rs
+++ b/crates/sender/tests/sender/parts.rs
@@ -14,7 +14,7 @@
 use indigomast_sender::http::{self, Rejection};
 use indigomast_sender::limits::Limits;
 use indigomast_sender::link::Link;
-use indigomast_sender::list::Listed;
+use indigomast_sender::list::ListedEndpoint;
 use indigomast_sender::notices::Notice;
 use indigomast_sender::peer::{Ask, Peer, Trunk};
 use indigomast_sender::ring::Ring;
@@ -126,7 +126,7 @@
 /// while something still refers to it.
 #[test]
 fn endpoints_off_the_list_are_forgotten_once_nothing_is_out_to_them() {
-    let member = |name: &str| Listed {
+    let member = |name: &str| ListedEndpoint {
         name: name.into(),
         address: None,
         dest: 0,
@@ -353,7 +353,7 @@
         (Arc::clone(&counters), Arc::clone(&limits), None, None);
     #[rustfmt::skip]
     let actor = Decider {
-        list_keeper: None,
+        list_saver: None,
         clock, limits, counters, figures, site, table, trunk, list, notices, journal, seed: 1, known, handover_state, handover,
     };
     Lone { actor, decider, words, reports, counted, limits: granted, folder }
