--- a/crates/control-plane/src/agent.rs
+++ b/crates/control-plane/src/agent.rs
@@ -17,7 +17,7 @@
 use indigomast_assignment::subscriber::{self, Subscriber};
 use indigomast_sender::http::{Request, put_answer, take_request};
 use indigomast_sender::limits::{Grant, Limits as HttpLimits};
-use indigomast_sender::notices::Post;
+use indigomast_sender::notices::HttpPoster;
 use indigomast_sender::ring::Ring;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -512,7 +512,7 @@
     let limits = HttpLimits { body: board.limits.http_body, ..HttpLimits::of(Grant::new(192, 1024, 3.0)) };
     let (mut ring, mut out) = (Ring::default(), Ring::default());
     let upstream = HttpLimits { report_time: board.limits.report_within, ..limits.clone() };
-    let mut reports = Reports { to: board.reports, post: Post::new(Arc::new(upstream)) };
+    let mut reports = Reports { to: board.reports, post: HttpPoster::new(Arc::new(upstream)) };
     loop {
         let close = match take_request(&mut ring, &limits) {
             Ok(Some(request)) => {
@@ -544,7 +544,7 @@
 /// Passes a daemon's notices on, all or none of them: what it is told is what whoever takes them said.
 struct Reports {
     to: Option<SocketAddr>,
-    post: Post,
+    post: HttpPoster,
 }
 
 impl Reports {
