--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -8,7 +8,7 @@
 use indigomast_sender::config::Site;
 use indigomast_sender::endpoint_table::EndpointTable;
 use indigomast_sender::limits::{Grant, Limits};
-use indigomast_sender::list::{Listed, Listing, Page};
+use indigomast_sender::list::{EndpointList, ListResponse, ListedEndpoint};
 use indigomast_site::{BootInfo, Names, read};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -114,8 +114,8 @@
     text
 }
 
-pub fn parse_list(text: &str, site: &Site, limits: &Limits) -> Result<Listing, String> {
-    Listing::of(read::<Page>(text)?, site, limits)
+pub fn parse_list(text: &str, site: &Site, limits: &Limits) -> Result<EndpointList, String> {
+    EndpointList::of(read::<ListResponse>(text)?, site, limits)
 }
 
 /// The decisions with what stands around them at a sender for each destination.
@@ -175,14 +175,14 @@
     }
 
     /// What the sender's decider does with a list, but for its log and its orders.
-    pub fn listed(&mut self, listing: Listing) -> Vec<Action> {
+    pub fn listed(&mut self, listing: EndpointList) -> Vec<Action> {
         let mut entries = Vec::with_capacity(listing.members.len());
         let mut told = BTreeSet::new();
         for member in listing.members {
             let (at, place) = self.places.upsert(&member);
             told.insert(at);
             place.address = member.address.or(place.address);
-            let Listed { dest, kind, zone, units, condition, .. } = member;
+            let ListedEndpoint { dest, kind, zone, units, condition, .. } = member;
             let dest = DestId(self.dests.place(&dest));
             entries.push(Entry { endpoint: at, dest, kind, zone, units, condition });
         }
