--- a/crates/assignment/src/day.rs
+++ b/crates/assignment/src/day.rs
@@ -6,7 +6,7 @@
 
 use crate::panel::{Moves, Panel, Report, secs};
 use crate::rehearsal::{Account, Node, Plan, World};
-use indigomast::chance::Chance;
+use indigomast::rng::Rng;
 use indigomast::time::Span;
 
 #[derive(Clone, Debug)]
@@ -47,14 +47,14 @@
 
 /// What happens to whom after how many milliseconds, in order.
 fn schedule(day: &Day, senders: u32, linger: Span, seed: u64) -> Vec<(f64, Turn, u32)> {
-    let mut chance = Chance::new(seed ^ 0xda1);
+    let mut chance = Rng::new(seed ^ 0xda1);
     let (length, linger) = (day.length.as_millis(), linger.as_millis());
     let mut turns = Vec::new();
     let mut gone = Vec::new();
     for number in 0..day.lost {
         // Evenly over the day, so that the moves of one are told from those of the next.
         let at = (f64::from(number) + 0.5) / f64::from(day.lost) * length;
-        let sender = (chance.share() * f64::from(senders)) as u32;
+        let sender = (chance.next_f64() * f64::from(senders)) as u32;
         let replaced = at + day.replaced_after.as_millis();
         turns.extend([(at, Turn::Lost, sender), (replaced, Turn::Replaced, sender)]);
         turns.push((replaced + 4.0 * linger, Turn::Settled, sender));
@@ -62,9 +62,9 @@
     }
     let mut away: Vec<(f64, f64, u32)> = Vec::new();
     while away.len() < day.restarts as usize {
-        let (at, sender) = (chance.share() * length, (chance.share() * f64::from(senders)) as u32);
+        let (at, sender) = (chance.next_f64() * length, (chance.next_f64() * f64::from(senders)) as u32);
         // Back within the time in which nothing moves for it, and before the day ends.
-        let back = at + (0.05 + 0.6 * chance.share()) * linger;
+        let back = at + (0.05 + 0.6 * chance.next_f64()) * linger;
         let twice = away.iter().any(|(from, to, other)| *other == sender && at <= *to && *from <= back);
         if back < length && !gone.contains(&sender) && !twice {
             away.push((at, back, sender));
--- a/crates/assignment/src/link.rs
+++ b/crates/assignment/src/link.rs
@@ -1,7 +1,7 @@
 //! A subscriber's one connection: to whom, since when, and when to look for another.
 
 use crate::budget;
-use indigomast::chance::Chance;
+use indigomast::rng::Rng;
 use indigomast::time::{Moment, Span};
 
 /// Who had to go to another than its first choice tries that again after so long, or up to twice as long.
@@ -32,7 +32,7 @@
     silent: Span,
     most: Span,
     home: Span,
-    chance: Chance,
+    chance: Rng,
     challenge: u64,
 }
 
@@ -42,9 +42,9 @@
     /// There is nobody to choose from.
     pub fn new(choices: Vec<u32>, silent: Span, most: Span, seed: u64, now: Moment) -> Link {
         assert!(!choices.is_empty());
-        let mut chance = Chance::new(seed);
-        let until = now + budget::RETRY * chance.share();
-        let home = HOME * (1.0 + chance.share());
+        let mut chance = Rng::new(seed);
+        let until = now + budget::RETRY * chance.next_f64();
+        let home = HOME * (1.0 + chance.next_f64());
         Link {
             choices,
             at: 0,
@@ -93,7 +93,7 @@
     /// The connection is there; a challenge for it, that never was before.
     pub fn connected(&mut self, now: Moment) -> u64 {
         self.state = State::Up { since: now, heard: now };
-        let mut draw = || (self.chance.share() * 4_294_967_296.0) as u64;
+        let mut draw = || (self.chance.next_f64() * 4_294_967_296.0) as u64;
         self.challenge = draw() << 32 | draw();
         self.challenge
     }
@@ -116,7 +116,7 @@
 
     /// The same one once more, at once.
     pub fn again(&mut self, now: Moment) {
-        self.state = State::Idle { until: now + budget::RETRY * (self.chance.share() / 2.0) };
+        self.state = State::Idle { until: now + budget::RETRY * (self.chance.next_f64() / 2.0) };
     }
 
     /// This one is the first choice from here on, and the next that is tried; None of a number that isn't known.
@@ -127,7 +127,7 @@
             State::Idle { until } => {
                 (self.at, self.tries) = (0, 0);
                 self.state =
-                    State::Idle { until: until.min(now + budget::RETRY * (self.chance.share() / 2.0)) };
+                    State::Idle { until: until.min(now + budget::RETRY * (self.chance.next_f64() / 2.0)) };
             }
             // What there is goes on; should it fail, the first choice is the next.
             _ if self.at == at => self.at = 0,
@@ -148,6 +148,6 @@
         self.at = (self.at + 1) % self.choices.len();
         let wait = (budget::RETRY * f64::from(1 << self.tries.min(10))).min(self.most);
         self.tries += 1;
-        self.state = State::Idle { until: now + wait * (0.5 + self.chance.share() / 2.0) };
+        self.state = State::Idle { until: now + wait * (0.5 + self.chance.next_f64() / 2.0) };
     }
 }
--- a/crates/assignment/src/rehearsal.rs
+++ b/crates/assignment/src/rehearsal.rs
@@ -11,7 +11,7 @@
 use crate::relay::{self, Relay};
 use crate::subscriber::{self, Subscriber};
 use crate::wire::Peer;
-use indigomast::chance::Chance;
+use indigomast::rng::Rng;
 use indigomast::time::{Moment, Span};
 use indigomast_rollout::wire::Secret;
 use std::cmp::Reverse;
@@ -189,7 +189,7 @@
     cut: BTreeSet<u16>,
     /// Pairs of controllers that everything goes by; the last is the one that changes are handed to.
     lead: u32,
-    chance: Chance,
+    chance: Rng,
     watches: Vec<Watch>,
     waits: HashMap<u32, Vec<usize>>,
     /// Senders that are away and will be back: changes made meanwhile are waited for at them too, from their return.
@@ -208,7 +208,7 @@
     pub broken: Vec<String>,
     check_each: bool,
     /// Changes the bytes of lines on their way, by choice.
-    tamper: Option<fn(&mut Chance, String) -> String>,
+    tamper: Option<fn(&mut Rng, String) -> String>,
 }
 
 impl World {
@@ -216,7 +216,7 @@
     pub fn new(plan: Plan) -> World {
         let now = Moment::from_millis(0.0);
         let secret = Secret::new(b"of the rehearsal alone").expect("long enough");
-        let mut chance = Chance::new(plan.seed);
+        let mut chance = Rng::new(plan.seed);
         let blank = Replica::new(&plan.settings);
         let mut first = Controller::new(1, blank.clone(), &plan.settings, secret.clone(), now);
         for destination in 0..plan.destinations {
@@ -239,7 +239,7 @@
             states: BTreeMap::new(),
             cut: BTreeSet::new(),
             lead: 0,
-            chance: Chance::new((chance.share() * 1e9) as u64),
+            chance: Rng::new((chance.next_f64() * 1e9) as u64),
             watches: Vec::new(),
             waits: HashMap::new(),
             awaited: BTreeSet::new(),
@@ -275,8 +275,8 @@
     }
 
     fn draw(&mut self) -> u64 {
-        let high = (self.chance.share() * 4_294_967_296.0) as u64;
-        high << 32 | (self.chance.share() * 4_294_967_296.0) as u64
+        let high = (self.chance.next_f64() * 4_294_967_296.0) as u64;
+        high << 32 | (self.chance.next_f64() * 4_294_967_296.0) as u64
     }
 
     pub fn place(&self, node: Node) -> Place {
@@ -345,7 +345,7 @@
         }
     }
 
-    pub fn tamper(&mut self, how: Option<fn(&mut Chance, String) -> String>) {
+    pub fn tamper(&mut self, how: Option<fn(&mut Rng, String) -> String>) {
         self.tamper = how;
     }
 
@@ -559,9 +559,9 @@
 
     /// Changes of destinations drawn by chance: most put another line, some remove, some add.
     pub fn change_some(&mut self) -> u64 {
-        let drawn = (self.chance.share() * f64::from(self.plan.destinations)) as u32;
+        let drawn = (self.chance.next_f64() * f64::from(self.plan.destinations)) as u32;
         let live = self.controller().stands(drawn).is_some();
-        let kind = self.chance.share();
+        let kind = self.chance.next_f64();
         let version = self.controller().replica().revision();
         match live {
             true if kind < 0.05 => self.change(Change::Remove { destination: drawn }),
@@ -573,7 +573,7 @@
     pub fn run_with_changes(&mut self, span: Span, a_second: f64) {
         let end = self.now + span;
         loop {
-            let gap = -(1.0 - self.chance.share()).ln() / a_second;
+            let gap = -(1.0 - self.chance.next_f64()).ln() / a_second;
             let at = self.now + Span::from_millis(gap * 1000.0);
             if at >= end {
                 break;
@@ -779,7 +779,7 @@
 
     fn latency(&mut self, a: Node, b: Node) -> Span {
         let (a, b) = (self.place(a), self.place(b));
-        let draw = self.chance.share();
+        let draw = self.chance.next_f64();
         Span::from_millis(match (a.zone == b.zone, a.region == b.region) {
             (true, _) => 0.2 + 0.2 * draw,
             (_, true) => 0.6 + 0.8 * draw,
--- a/crates/assignment/tests/placement.rs
+++ b/crates/assignment/tests/placement.rs
@@ -1,6 +1,6 @@
 //! Who owns what: the load bound, spread over zones and regions, and moves beside the least possible.
 
-use indigomast::chance::Chance;
+use indigomast::rng::Rng;
 use indigomast::time::{Moment, Span};
 use indigomast_assignment::catalog::{Owners, Settings};
 use indigomast_assignment::placement::{Place, Placement};
@@ -21,11 +21,11 @@
 impl Fleet {
     fn new(shards: u32, senders: u32, regions: u16, zones: u16, seed: u64) -> Fleet {
         let mut placement = Placement::new(&settings(shards));
-        let mut chance = Chance::new(seed);
+        let mut chance = Rng::new(seed);
         for shard in 0..shards {
             // Weights as they come: some shards ten times as heavy as most.
-            let weight = (8.0 / chance.share().max(0.01).powf(0.6)) as u64;
-            placement.load(shard, [weight, 4 + (chance.share() * 9.0) as u64]);
+            let weight = (8.0 / chance.next_f64().max(0.01).powf(0.6)) as u64;
+            placement.load(shard, [weight, 4 + (chance.next_f64() * 9.0) as u64]);
         }
         let now = Moment::from_millis(0.0);
         let mut fleet = Fleet { placement, owners: BTreeMap::new(), places: BTreeMap::new(), now, moved: 0 };
@@ -176,11 +176,11 @@
 #[test]
 fn load_that_grows_is_shed() {
     let mut fleet = Fleet::new(1024, 50, 5, 10, 6);
-    let mut chance = Chance::new(6);
+    let mut chance = Rng::new(6);
     for _ in 0..20 {
         for _ in 0..50 {
-            let shard = (chance.share() * 1024.0) as u32;
-            fleet.placement.load(shard, [40 + (chance.share() * 40.0) as u64, 12]);
+            let shard = (chance.next_f64() * 1024.0) as u32;
+            fleet.placement.load(shard, [40 + (chance.next_f64() * 40.0) as u64, 12]);
         }
         fleet.settle();
         fleet.sound(true);
--- a/crates/assignment/tests/walks.rs
+++ b/crates/assignment/tests/walks.rs
@@ -1,22 +1,22 @@
 //! Faults drawn from a seed, many at once; afterwards all has to be as if none had been.
 
-use indigomast::chance::Chance;
+use indigomast::rng::Rng;
 use indigomast::time::Span;
 use indigomast_assignment::budget::SENDER_MOST_IN_10_S;
 use indigomast_assignment::catalog::{Change, Settings};
 use indigomast_assignment::rehearsal::{Node, Plan, World};
 
-fn below(chance: &mut Chance, most: u32) -> u32 {
-    (chance.share() * f64::from(most)) as u32
+fn below(chance: &mut Rng, most: u32) -> u32 {
+    (chance.next_f64() * f64::from(most)) as u32
 }
 
 /// A line that comes through otherwise than it went: cut, a byte changed, or nothing of it left.
-fn spoil(chance: &mut Chance, line: String) -> String {
-    if chance.share() > 0.02 {
+fn spoil(chance: &mut Rng, line: String) -> String {
+    if chance.next_f64() > 0.02 {
         return line;
     }
-    let at = (chance.share() * line.len() as f64) as usize;
-    match (chance.share() * 3.0) as u32 {
+    let at = (chance.next_f64() * line.len() as f64) as usize;
+    match (chance.next_f64() * 3.0) as u32 {
         0 => line[..at].to_owned(),
         1 => {
             let mut bytes = line.into_bytes();
@@ -31,7 +31,7 @@
     // A short log, so that some are older than it, and few bytes a relay, so that snapshots are cut.
     let settings = Settings { log: 300, ..Plan::small(seed).settings };
     let mut world = World::new(Plan { settings, destinations: 1200, ..Plan::small(seed) });
-    let mut chance = Chance::new(seed * 7919 + 1);
+    let mut chance = Rng::new(seed * 7919 + 1);
     let (senders, relays) = (world.plan.senders, world.plan.relays);
     world.start_relays();
     world.run(Span::millis(2000));
@@ -79,7 +79,7 @@
                 world.elect(1, 2);
             }
             14 => _ = world.change(Change::Common { body: format!("common {}", below(&mut chance, 1000)) }),
-            15 => world.tamper(if chance.share() < 0.5 { Some(spoil) } else { None }),
+            15 => world.tamper(if chance.next_f64() < 0.5 { Some(spoil) } else { None }),
             _ => {}
         }
         for _ in 0..below(&mut chance, 12) {
--- a/crates/scale/src/roles/changes.rs
+++ b/crates/scale/src/roles/changes.rs
@@ -4,7 +4,7 @@
 use crate::meter::Meter;
 use crate::target;
 use crate::{About, Reading, Role};
-use indigomast::chance::Chance;
+use indigomast::rng::Rng;
 use indigomast::time::{Moment, Span};
 use indigomast_sender::config::Config;
 use serde_json::json;
@@ -49,7 +49,7 @@
         let begun = hollow.now;
 
         // Told of each change, with all others that came until the question was there.
-        let mut chance = Chance::new(seed);
+        let mut chance = Rng::new(seed);
         let (mut bytes, mut answers, mut told, mut micros) = (0, 0, 0, 0.0);
         let mut asked: f64 = 0.0;
         let mut next = 1.0 / size;
@@ -60,7 +60,7 @@
             told += count;
             let members: Vec<String> = (0..count)
                 .map(|_| {
-                    let at = (chance.share() * LISTED as f64) as usize;
+                    let at = (chance.next_f64() * LISTED as f64) as usize;
                     let one = list_text(at, at + 1, 0, false);
                     one[one.find('[').map_or(0, |from| from + 1)..one.len() - 2].to_owned()
                 })
--- a/crates/scale/src/roles/senders.rs
+++ b/crates/scale/src/roles/senders.rs
@@ -6,7 +6,7 @@
 use crate::target;
 use crate::{About, Reading, Role};
 use indigomast::api::*;
-use indigomast::chance::Chance;
+use indigomast::rng::Rng;
 use indigomast::rules::Rules;
 use indigomast::time::{Moment, Span};
 use indigomast_sender::poll_schedule::{PollSchedule, Reply};
@@ -227,9 +227,9 @@
 /// Every sender has a text for what is down, which came by and by or to all in one moment.
 fn full(size: usize, listed_rate: ListedRate, spread: bool, seed: u64) -> Full {
     let mut fleet = Fleet::new(size, listed_rate, seed);
-    let mut chance = Chance::new(seed);
+    let mut chance = Rng::new(seed);
     let mut comes: Vec<(usize, usize)> = (0..size)
-        .map(|sender| (if spread { (chance.share() * KNOWN as f64) as usize } else { 0 }, sender))
+        .map(|sender| (if spread { (chance.next_f64() * KNOWN as f64) as usize } else { 0 }, sender))
         .collect();
     comes.sort_unstable();
     let mut comes = comes.into_iter().peekable();
@@ -286,14 +286,14 @@
 /// Texts come to an average destination of the fleet, which is down.
 fn average(size: usize, seed: u64) -> Average {
     let mut fleet = Fleet::new(size, ListedRate::Exact, seed);
-    let (mut chance, mut due, mut calls) = (Chance::new(seed), 0.0, 0);
+    let (mut chance, mut due, mut calls) = (Rng::new(seed), 0.0, 0);
     let mut had = vec![false; size];
     for step in 0..LONG {
         while due <= step as f64 * STEP.as_secs() {
-            let sender = (chance.share() * size as f64) as usize;
+            let sender = (chance.next_f64() * size as f64) as usize;
             had[sender] = true;
             fleet.text(sender);
-            due += -(1.0 - chance.share()).ln() / A_DESTINATION;
+            due += -(1.0 - chance.next_f64()).ln() / A_DESTINATION;
         }
         calls += fleet.step(false).0;
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,9 +8,9 @@
 //! or the environment, so whatever carries the calls can be put in front of the same decisions.
 
 pub mod api;
-pub mod chance;
 pub mod connect_patience;
 pub mod connection_sharing;
 pub mod list_lease;
+pub mod rng;
 pub mod rules;
 pub mod time;
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -4,8 +4,8 @@
 //! [`crate::api`]. `docs/design.md` tells which page the ordinary path follows and where it departs from it.
 
 use crate::api::*;
-use crate::chance::Chance;
 use crate::connection_sharing;
+use crate::rng::Rng;
 use crate::time::{Moment, Span};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
@@ -292,7 +292,7 @@
 #[derive(Default)]
 pub struct Rules {
     settings: Settings,
-    chance: Chance,
+    chance: Rng,
     endpoints: BTreeMap<EndpointId, Endpoint>,
     lanes: BTreeMap<LaneId, Lane>,
     holds: BTreeMap<DestId, Hold>,
@@ -373,7 +373,7 @@
 
 impl Rules {
     pub fn new(settings: Settings, seed: u64) -> Rules {
-        Rules { settings, chance: Chance::new(seed), ..Rules::default() }
+        Rules { settings, chance: Rng::new(seed), ..Rules::default() }
     }
 
     pub fn learnt(&self) -> Learnt {
@@ -454,7 +454,7 @@
             // Asking costs the registry work, and all senders may have been turned away together.
             self.asks_failed += 1;
             let pause = FIRST_ASK * f64::from(1 << (self.asks_failed - 1).min(6));
-            let pause = pause.min(self.settings.must_ask_in.max(FIRST_ASK)) * (0.5 + self.chance.share());
+            let pause = pause.min(self.settings.must_ask_in.max(FIRST_ASK)) * (0.5 + self.chance.next_f64());
             return self.dues.extend([(self.now + pause, Due::Ask)]);
         }
         self.asks_failed = 0;
@@ -693,7 +693,7 @@
     fn reschedule(&mut self, id: TextId, told: Moment) {
         let text = &self.texts[&id];
         let pause = (FIRST_PAUSE * f64::from(1 << (text.submits.clamp(1, 16) - 1))).min(LONGEST_PAUSE);
-        let at = (self.now + pause * (0.8 + 0.4 * self.chance.share())).max(told);
+        let at = (self.now + pause * (0.8 + 0.4 * self.chance.next_f64())).max(told);
         let memory_ends = self.memory_ends(text);
         if !self.may_go_again(text) || at >= text.valid_until || memory_ends.is_some_and(|end| at >= end) {
             return self.give_up(id);
@@ -829,7 +829,7 @@
         let (known, part) = (self.known_rate(lane_id), self.part(lane_id));
         let gap = Span::from_millis(1000.0 / part.max(1e-3));
         let few = self.cold_gap(lane_id, now) > SECOND_LOOK;
-        let jitter = 0.8 + 0.4 * self.chance.share();
+        let jitter = 0.8 + 0.4 * self.chance.next_f64();
         let unpaced = self.lanes[&lane_id].pace == 0.0;
         let told = outcome.allowance.filter(|told| told.calls_per_sec > 0.0);
         let start = told.filter(|_| unpaced).map(|told| self.first_pace(lane_id, told.calls_per_sec));
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -4,7 +4,7 @@
 //! one takes in a span is N = tip multiple x present share x rate x span; more than N + 2 x root of N + 2 push it over.
 
 use indigomast::api::*;
-use indigomast::chance::Chance;
+use indigomast::rng::Rng;
 use indigomast::rules::Rules;
 use indigomast::time::{Moment, Span};
 use std::collections::{BTreeMap, VecDeque};
@@ -136,7 +136,7 @@
 
 struct Play {
     case: Case,
-    chance: Chance,
+    chance: Rng,
     senders: Vec<Sender>,
     queue: BTreeMap<(Moment, u64), Ev>,
     number: u64,
@@ -152,7 +152,7 @@
     }
 
     fn spread(&mut self, mean: f64) -> f64 {
-        -(1.0 - self.chance.share()).ln() * mean
+        -(1.0 - self.chance.next_f64()).ln() * mean
     }
 
     /// Pause between two texts handed to a sender, in milliseconds, or none for one that has nothing then.
@@ -247,7 +247,7 @@
         let (verdict, takes) = match (out, hangs) {
             (true, false) => (Verdict::ConnectFailed, 2.0),
             (true, true) => (Verdict::TimeOut, time_out.as_millis()),
-            _ => (Verdict::Delivered, 40.0 + 80.0 * self.chance.share()),
+            _ => (Verdict::Delivered, 40.0 + 80.0 * self.chance.next_f64()),
         };
         if !out && now > BACK_AT {
             self.bear(now, n);
@@ -341,7 +341,7 @@
 
     fn run(case: Case) -> Found {
         let senders = (0..case.senders).map(|_| Sender::default()).collect();
-        let chance = Chance::new(case.seed);
+        let chance = Rng::new(case.seed);
         let (queue, recent, found) = (BTreeMap::new(), VecDeque::new(), Found::default());
         let mut play = Play { case, chance, senders, queue, number: 0, recent, fallen: false, found };
         for n in 0..play.case.senders {
@@ -354,7 +354,7 @@
                 let at = if play.case.seed.is_multiple_of(3) {
                     500.0
                 } else {
-                    200.0 + 4_000.0 * play.chance.share()
+                    200.0 + 4_000.0 * play.chance.next_f64()
                 };
                 play.put(BACK_AT + at, Ev::Kill(n));
                 play.put(BACK_AT + at + 600.0, Ev::Start(n));
--- a/tests/window.rs
+++ b/tests/window.rs
@@ -4,7 +4,7 @@
 //! Days of restarts may set it to one second, which is less than the pauses, time-outs and stalls of an ordinary day.
 
 use indigomast::api::*;
-use indigomast::chance::Chance;
+use indigomast::rng::Rng;
 use indigomast::rules::{Learnt, Rules};
 use indigomast::time::{Moment, Span};
 use std::collections::BTreeMap;
@@ -59,7 +59,7 @@
     now: Moment,
     noted: BTreeMap<TextId, Noted>,
     life: Life,
-    chance: Chance,
+    chance: Rng,
     /// Submits of texts in doubt, and those given up for it.
     repeats: usize,
     given_up: usize,
@@ -82,7 +82,7 @@
         let rules = Rules::new(settings.clone(), seed);
         let now = Moment::from_millis(1e9);
         let life = Life { rules, out: Vec::new(), wake: now };
-        let (window, chance) = (Span::millis(window), Chance::new(seed));
+        let (window, chance) = (Span::millis(window), Rng::new(seed));
         let noted = BTreeMap::new();
         let mut world = World { settings, window, now, noted, life, chance, repeats: 0, given_up: 0 };
         world.step(vec![list()]);
@@ -256,14 +256,14 @@
         let mut world = World::new(settings(window, seed % 5 == 0, several), window, seed);
         let mut texts = 0;
         for _ in 0..400 {
-            match (world.chance.share() * 100.0) as u32 {
+            match (world.chance.next_f64() * 100.0) as u32 {
                 0..20 if texts < TEXTS => {
                     world.hand_in(texts);
                     texts += 1;
                 }
                 0..55 if !world.life.out.is_empty() => {
-                    let at = (world.chance.share() * world.life.out.len() as f64) as usize;
-                    let verdict = match (world.chance.share() * 10.0) as u32 {
+                    let at = (world.chance.next_f64() * world.life.out.len() as f64) as usize;
+                    let verdict = match (world.chance.next_f64() * 10.0) as u32 {
                         0 => Verdict::Delivered,
                         1..4 => Verdict::Reset,
                         4..6 => Verdict::Error,
@@ -274,18 +274,18 @@
                     world.answer(at, verdict);
                 }
                 55..60 => {
-                    let hands_over = world.chance.share() < 0.3;
+                    let hands_over = world.chance.next_f64() < 0.3;
                     let learnt = world.leaves(hands_over);
-                    let gone = Span::from_millis(world.chance.share() * 900.0);
+                    let gone = Span::from_millis(world.chance.next_f64() * 900.0);
                     world.restart(gone, learnt);
                     restarts += 1;
                 }
                 60..64 => {
-                    let stall = (world.chance.share() * 1_500.0) as i64 + 1;
+                    let stall = (world.chance.next_f64() * 1_500.0) as i64 + 1;
                     world.pass(stall, true);
                 }
                 _ => {
-                    let spell = (world.chance.share() * 60.0) as i64 + 1;
+                    let spell = (world.chance.next_f64() * 60.0) as i64 + 1;
                     world.pass(spell, false);
                 }
             }
