--- a/crates/sender/src/carrier.rs
+++ b/crates/sender/src/carrier.rs
@@ -8,7 +8,7 @@
 use crate::peer::Trunk;
 use crate::{log, log_account, log_request};
 use indigomast::api::{EndpointId, Verdict};
-use indigomast::connect_patience::ConnectPatience;
+use indigomast::connect_estimate::ConnectEstimate;
 use indigomast::connection_sharing::{ConnectionUse, Proof};
 use indigomast_admission::Token;
 use std::io::{self, ErrorKind};
@@ -71,7 +71,7 @@
     pub address: SocketAddr,
     pub trunk: Arc<Trunk>,
     /// What connects there have taken.
-    pub connect_patience: Mutex<ConnectPatience>,
+    pub connect_patience: Mutex<ConnectEstimate>,
 }
 
 /// The thread of one connection.
@@ -175,12 +175,12 @@
     /// Connects within a time. Where that takes longer than usual the attempt is given up for a second one.
     fn connects(&self, within: Duration) -> io::Result<Link> {
         let patience = || self.target.connect_patience.lock().unwrap_or_else(PoisonError::into_inner);
-        let usual = patience().tries_again_after().map(duration).filter(|usual| *usual < within);
+        let usual = patience().second_attempt_delay().map(duration).filter(|usual| *usual < within);
         let begun = Instant::now();
         let connect = |within| {
             let begun = Instant::now();
             let opened = Link::open(self.target.address, within);
-            opened.inspect(|_| patience().came_up(span(begun.elapsed())))
+            opened.inspect(|_| patience().record_connect(span(begun.elapsed())))
         };
         match connect(usual.unwrap_or(within)) {
             Err(e) if usual.is_some() && e.kind() == ErrorKind::TimedOut => {
--- a/src/connect_patience.rs
+++ b/src/connect_estimate.rs
@@ -15,14 +15,14 @@
 
 /// What connects to one endpoint have taken.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ConnectPatience {
+pub struct ConnectEstimate {
     /// Smoothed time and mean deviation in milliseconds; none before the first came up.
     estimate: Option<(f64, f64)>,
 }
 
-impl ConnectPatience {
+impl ConnectEstimate {
     /// A connection came up after so long.
-    pub fn came_up(&mut self, took: Span) {
+    pub fn record_connect(&mut self, took: Span) {
         let took = took.as_millis();
         let (smoothed, deviation) = self.estimate.unwrap_or((took, took));
         let deviation = deviation + DEVIATION_WEIGHT * ((took - smoothed).abs() - deviation);
@@ -30,7 +30,7 @@
     }
 
     /// After so long without a connection another is tried; none where nothing is known of the endpoint.
-    pub fn tries_again_after(&self) -> Option<Span> {
+    pub fn second_attempt_delay(&self) -> Option<Span> {
         let (smoothed, deviation) = self.estimate?;
         Some(Span::from_millis(smoothed + DEVIATIONS * deviation).max(LEAST))
     }
--- a/tests/connect_patience.rs
+++ b/tests/connect_estimate.rs
@@ -1,17 +1,17 @@
 //! When a second connection is tried, by what connects have taken.
 
-use indigomast::connect_patience::ConnectPatience;
+use indigomast::connect_estimate::ConnectEstimate;
 use indigomast::time::Span;
 
 fn after(samples: impl IntoIterator<Item = i64>) -> f64 {
-    let mut patience = ConnectPatience::default();
-    samples.into_iter().for_each(|took| patience.came_up(Span::millis(took)));
-    patience.tries_again_after().expect("something came up").as_millis()
+    let mut patience = ConnectEstimate::default();
+    samples.into_iter().for_each(|took| patience.record_connect(Span::millis(took)));
+    patience.second_attempt_delay().expect("something came up").as_millis()
 }
 
 #[test]
 fn nothing_is_tried_again_before_a_connection_came_up() {
-    assert_eq!(ConnectPatience::default().tries_again_after(), None);
+    assert_eq!(ConnectEstimate::default().second_attempt_delay(), None);
 }
 
 #[test]
