--- a/crates/sender/src/carrier.rs
+++ b/crates/sender/src/carrier.rs
@@ -9,7 +9,7 @@
 use crate::{log, log_account, log_request};
 use indigomast::api::{EndpointId, Verdict};
 use indigomast::connect_estimate::ConnectEstimate;
-use indigomast::connection_sharing::{ConnectionUse, Proof};
+use indigomast::connection_sharing::{Attribution, ConnectionHistory};
 use indigomast_admission::Token;
 use std::io::{self, ErrorKind};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -84,7 +84,7 @@
     /// The connection's own number in this process, how many calls it has carried, and which.
     connection: u64,
     calls: u64,
-    connection_use: ConnectionUse,
+    connection_use: ConnectionHistory,
 }
 
 impl Carrier {
@@ -96,7 +96,7 @@
             link: None,
             connection: 0,
             calls: 0,
-            connection_use: ConnectionUse::default(),
+            connection_use: ConnectionHistory::default(),
         }
     }
 
@@ -131,7 +131,7 @@
     /// Whatever is still written behind an answer that names its texts can be told from the answer to the next call.
     fn can_rest_behind(&self, call: &Call, answer: &Answer) -> bool {
         let clean = self.link.as_ref().is_some_and(Link::is_clean);
-        call.shares_connection && answer.proof == Proof::Named && answer.head.keeps() && clean
+        call.shares_connection && answer.proof == Attribution::Named && answer.head.keeps() && clean
     }
 
     /// There will be no other call here. A call that follows on the outcome, which is told after this, finds the right to a
@@ -222,7 +222,7 @@
             let opened = self.connects(left.min(self.target.trunk.site.get().connect_time));
             self.link = Some(opened.map_err(|e| self.unopened(&e))?);
             (self.connection, self.calls) = (self.target.trunk.counters.endpoint_connections.next(), 0);
-            self.connection_use = ConnectionUse::default();
+            self.connection_use = ConnectionHistory::default();
         }
         let now = Instant::now();
         let late = call.parts.extract_if(.., |part| now >= part.by.min(part.leave_by)).collect();
@@ -268,7 +268,7 @@
         }
         let by = call.parts.iter().map(|part| part.by.min(part.leave_by)).min().unwrap_or(call.sent);
         call.left = true;
-        self.connection_use.begins(call.ids());
+        self.connection_use.begin_call(call.ids());
         link.send(by).map_err(|_| Verdict::ConnectFailed)?;
         self.target.trunk.figures.sends.add(call.parts.len());
         self.calls += 1;
@@ -288,8 +288,8 @@
             let named = call.names_texts() && head.status == 200;
             let ends = body.as_deref().filter(|_| named).map(answer::read_ends);
             let names = ends.iter().flat_map(Ends::keys).map(String::as_str);
-            let proof = self.connection_use.proof(names);
-            if proof != Proof::Stray {
+            let proof = self.connection_use.attribute_answer(names);
+            if proof != Attribution::Stray {
                 return Ok(Answer { head, body, ends, proof });
             }
             self.log_unasked("before the answer", body.map_or(0, |body| body.len()));
@@ -343,13 +343,13 @@
     body: Option<Vec<u8>>,
     /// How each text ended, where the answer says so.
     ends: Option<Ends>,
-    proof: Proof,
+    proof: Attribution,
 }
 
 impl Answer {
     fn says_of(&self, id: &str, names_texts: bool) -> Answered {
         let answered = self.reads_of(id, names_texts);
-        if self.proof.holds() { answered } else { answer::in_doubt(answered) }
+        if self.proof.is_certain() { answered } else { answer::in_doubt(answered) }
     }
 
     fn reads_of(&self, id: &str, names_texts: bool) -> Answered {
--- a/src/connection_sharing.rs
+++ b/src/connection_sharing.rs
@@ -20,7 +20,7 @@
 
 /// Whether a message may travel where a refusal leaves it in doubt: it can be repeated, and is remembered by its receiver for long
 /// enough to be tried again.
-pub fn bears_doubt(repeat: Repeat) -> bool {
+pub fn may_share_connection(repeat: Repeat) -> bool {
     match repeat {
         Repeat::Resendable => true,
         Repeat::Referenced { memory, one_zone } => !one_zone && memory >= LEAST_MEMORY,
@@ -30,7 +30,7 @@
 
 /// What an answer has to do with the call that is out on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Proof {
+pub enum Attribution {
     /// It names messages of the call.
     Named,
     /// Nothing else was asked on the connection.
@@ -41,16 +41,16 @@
     None,
 }
 
-impl Proof {
+impl Attribution {
     /// Whether what the answer says holds for the call.
-    pub fn holds(self) -> bool {
-        matches!(self, Proof::Named | Proof::OnlyCall)
+    pub fn is_certain(self) -> bool {
+        matches!(self, Attribution::Named | Attribution::OnlyCall)
     }
 }
 
 /// What one connection has carried so far.
 #[derive(Debug, Default)]
-pub struct ConnectionUse {
+pub struct ConnectionHistory {
     calls: usize,
     /// Ids of the messages of the calls before the one that is out.
     earlier: BTreeSet<String>,
@@ -58,7 +58,7 @@
     current: Vec<String>,
 }
 
-impl ConnectionUse {
+impl ConnectionHistory {
     /// Whether a call of these messages may go on this connection. A message travels on it once: an answer that names it could
     /// be a second copy of the one before.
     pub fn may_carry<'a>(&self, mut messages: impl Iterator<Item = &'a str>) -> bool {
@@ -67,22 +67,22 @@
     }
 
     /// A call of these messages goes out on it.
-    pub fn begins<'a>(&mut self, messages: impl Iterator<Item = &'a str>) {
+    pub fn begin_call<'a>(&mut self, messages: impl Iterator<Item = &'a str>) {
         self.calls += 1;
         self.earlier.extend(self.current.drain(..));
         self.current.extend(messages.map(str::to_owned));
     }
 
     /// What an answer proves that names these messages.
-    pub fn proof<'a>(&self, mut named: impl Iterator<Item = &'a str> + Clone) -> Proof {
+    pub fn attribute_answer<'a>(&self, mut named: impl Iterator<Item = &'a str> + Clone) -> Attribution {
         if named.clone().any(|id| self.current.iter().any(|own| own == id)) {
-            Proof::Named
+            Attribution::Named
         } else if self.calls <= 1 {
-            Proof::OnlyCall
+            Attribution::OnlyCall
         } else if named.any(|id| self.earlier.contains(id)) {
-            Proof::Stray
+            Attribution::Stray
         } else {
-            Proof::None
+            Attribution::Unknown
         }
     }
 }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -644,7 +644,7 @@
     fn may_share_connection(&self, kind: KindId, texts: &[TextId]) -> bool {
         let bears = |id: &TextId| {
             let text = &self.texts[id];
-            !text.alone && connection_sharing::bears_doubt(self.repeat(text))
+            !text.alone && connection_sharing::may_share_connection(self.repeat(text))
         };
         self.settings.kinds[kind.0].texts_per_call > 1 && texts.iter().all(bears)
     }
