--- a/crates/sender/src/list.rs
+++ b/crates/sender/src/list.rs
@@ -12,7 +12,7 @@
 use crate::{Mailbox, log, log_account, log_state, threads};
 use crossbeam_channel::Receiver;
 use indigomast::api::{Condition, KindId, ZoneId};
-use indigomast::list_lease::{Failure, LeaseSettings, ListLease, Subscription};
+use indigomast::list_lease::{LeaseSettings, ListLease, QueryFailure, Subscription};
 use indigomast::time::{Moment, Span};
 use indigomast_site::{Complaint, read};
 use serde::{Deserialize, Serialize};
@@ -160,7 +160,7 @@
 
     /// Until when the list in force may be acted on, and as of when it is whole.
     fn lease(&self, lease: &ListLease, now: Moment) {
-        let (until, as_of, failed) = (lease.good_until(now), lease.as_of(), lease.has_failed());
+        let (until, as_of, failed) = (lease.valid_until(now), lease.as_of(), lease.has_failed());
         _ = self.decider.send(Word::ListLease { until, as_of, failed });
     }
 
@@ -278,15 +278,15 @@
         true => Subscription::Polls,
     };
     let drain_grace = Span::from_millis(site.info.obligations.drain_grace_ms);
-    LeaseSettings { subscription, poll_term: settings.must_ask_in, drain_grace }
+    LeaseSettings { subscription, max_poll_interval: settings.must_ask_in, drain_grace }
 }
 
 /// What a failed question says of discovery, as far as the age of the list goes.
-fn failure(reply: Reply) -> Failure {
+fn failure(reply: Reply) -> QueryFailure {
     match reply {
-        Reply::Unreachable => Failure::Unreachable,
-        Reply::Silent => Failure::Silent,
-        Reply::Told | Reply::TurnedAway | Reply::Broken => Failure::Refused,
+        Reply::Unreachable => QueryFailure::Unreachable,
+        Reply::Silent => QueryFailure::Silent,
+        Reply::Told | Reply::TurnedAway | Reply::Broken => QueryFailure::Refused,
     }
 }
 
@@ -317,7 +317,7 @@
         match self.ask(0, None) {
             Ok((address, listing)) => {
                 self.tell(&mut self.running(), address, listing);
-                self.leases(|lease, _| lease.confirmed(self.clock.moment(asked)));
+                self.leases(|lease, _| lease.record_answer(self.clock.moment(asked)));
             }
             Err((_, e)) => {
                 log!("reading the list failed: {e}");
@@ -331,8 +331,8 @@
         let (fresh, term) = schedule(&self.site.get());
         let settings = lease_settings(&self.site.get(), &fresh);
         self.leases(|lease, now| {
-            lease.follows(settings);
-            lease.moved(now);
+            lease.update_settings(settings);
+            lease.record_source_change(now);
         });
         let mut schedule = self.schedule();
         if !schedule.goes_round_with(&fresh) {
@@ -414,12 +414,12 @@
                     self.tell(&mut running, address, listing);
                     // A watch that ran its whole time would have been answered sooner had something changed.
                     let as_of = if watches && since.elapsed() >= hold { since + hold } else { since };
-                    self.leases(|lease, _| lease.confirmed(self.clock.moment(as_of)));
+                    self.leases(|lease, _| lease.record_answer(self.clock.moment(as_of)));
                 }
                 Err((reply, e)) => {
                     drop(running);
                     self.log_failure(reply, &e, since);
-                    self.leases(|lease, now| lease.failed(now, failure(reply)));
+                    self.leases(|lease, now| lease.record_failure(now, failure(reply)));
                     // It is asked again unbidden, and the list in force stays.
                     self.teller.missed();
                     if watches {
--- a/src/connection_sharing.rs
+++ b/src/connection_sharing.rs
@@ -38,7 +38,7 @@
     /// It names messages of earlier calls and none of this one: the call's own answer is still to come.
     Stray,
     /// It names no message that was ever asked for here: it may be the call's, or a stray one.
-    None,
+    Unknown,
 }
 
 impl Attribution {
--- a/src/list_lease.rs
+++ b/src/list_lease.rs
@@ -36,14 +36,14 @@
 pub struct LeaseSettings {
     pub subscription: Subscription,
     /// How long a sender that polls may go without asking; zero where that isn't said.
-    pub poll_term: Span,
+    pub max_poll_interval: Span,
     /// For so long calls may still go to an endpoint after it was told that it drains.
     pub drain_grace: Span,
 }
 
 /// How a question failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum QueryFailure {
     /// Nobody listens there.
     Unreachable,
     /// It was turned down, broke off, or could not be read.
@@ -87,29 +87,29 @@
     }
 
     /// Other settings are in force.
-    pub fn follows(&mut self, settings: LeaseSettings) {
+    pub fn update_settings(&mut self, settings: LeaseSettings) {
         self.settings = settings;
     }
 
     /// An answer came to a question that was sent at `asked`: the list is whole as of then.
-    pub fn confirmed(&mut self, asked: Moment) {
+    pub fn record_answer(&mut self, asked: Moment) {
         self.as_of = self.as_of.max(asked);
         self.answered = true;
         (self.failures, self.cut_off, self.unreachable) = (0, None, None);
         self.moved = self.moved.filter(|moved| asked < *moved);
     }
 
-    pub fn failed(&mut self, now: Moment, failure: Failure) {
+    pub fn record_failure(&mut self, now: Moment, failure: QueryFailure) {
         self.failures += 1;
         match failure {
-            Failure::Unreachable => self.unreachable = Some(now),
-            Failure::Refused => _ = self.cut_off.get_or_insert(now),
-            Failure::Silent => {}
+            QueryFailure::Unreachable => self.unreachable = Some(now),
+            QueryFailure::Refused => _ = self.cut_off.get_or_insert(now),
+            QueryFailure::Silent => {}
         }
     }
 
     /// The source of the list is another one from now on, or tells all anew.
-    pub fn moved(&mut self, now: Moment) {
+    pub fn record_source_change(&mut self, now: Moment) {
         self.moved = Some(now);
     }
 
@@ -126,21 +126,26 @@
     /// Whether discovery passes for down.
     fn passes_for_down(&self, now: Moment) -> bool {
         let begun = self.begun.max(self.as_of).max(self.moved.unwrap_or(self.begun));
-        let term = if self.settings.poll_term == Span::ZERO { POLL_TERM } else { self.settings.poll_term };
+        let term = if self.settings.max_poll_interval == Span::ZERO {
+            POLL_TERM
+        } else {
+            self.settings.max_poll_interval
+        };
         self.failures >= LEAST_FAILURES && now >= begun + term + TOLD_WITHIN
     }
 
     /// Until when new calls may go out by the list, as far as is known now; none where nothing ends that.
-    pub fn good_until(&self, now: Moment) -> Option<Moment> {
+    pub fn valid_until(&self, now: Moment) -> Option<Moment> {
         if self.passes_for_down(now) {
             return None;
         }
-        let LeaseSettings { subscription, poll_term, drain_grace } = self.settings;
-        let within = if poll_term == Span::ZERO { TOLD_WITHIN } else { poll_term.min(TOLD_WITHIN) };
+        let LeaseSettings { subscription, max_poll_interval, drain_grace } = self.settings;
+        let within =
+            if max_poll_interval == Span::ZERO { TOLD_WITHIN } else { max_poll_interval.min(TOLD_WITHIN) };
         let reached = |from: Moment| from.max(self.unreachable.unwrap_or(from));
         let told = match subscription {
             Subscription::Polls if self.failures == 0 => {
-                let term = if poll_term == Span::ZERO { POLL_TERM } else { poll_term };
+                let term = if max_poll_interval == Span::ZERO { POLL_TERM } else { max_poll_interval };
                 self.as_of + term
             }
             Subscription::Polls | Subscription::Watches => reached(self.as_of) + within,
--- a/tests/list_lease.rs
+++ b/tests/list_lease.rs
@@ -1,6 +1,6 @@
 //! Until when a list may be acted on, by each sentence on when a change counts as told.
 
-use indigomast::list_lease::{Failure, LeaseSettings, ListLease, Subscription};
+use indigomast::list_lease::{LeaseSettings, ListLease, QueryFailure, Subscription};
 use indigomast::time::{Moment, Span};
 
 const GRACE: f64 = 800.0;
@@ -10,7 +10,7 @@
 }
 
 fn settings(subscription: Subscription) -> LeaseSettings {
-    LeaseSettings { subscription, poll_term: Span::millis(10_000), drain_grace: Span::millis(1_000) }
+    LeaseSettings { subscription, max_poll_interval: Span::millis(10_000), drain_grace: Span::millis(1_000) }
 }
 
 fn lease(subscription: Subscription) -> ListLease {
@@ -18,48 +18,48 @@
 }
 
 #[track_caller]
-fn good_until(lease: &ListLease, now: f64, until: f64) {
-    assert_eq!(lease.good_until(at(now)), Some(at(until)));
+fn assert_valid_until(lease: &ListLease, now: f64, until: f64) {
+    assert_eq!(lease.valid_until(at(now)), Some(at(until)));
 }
 
 #[test]
 fn a_sender_that_polls_holds_its_list_for_as_long_as_it_may_go_without_asking() {
     let mut lease = lease(Subscription::Polls);
-    good_until(&lease, 100.0, 10_000.0 + GRACE);
-    lease.confirmed(at(4_400.0));
-    good_until(&lease, 4_500.0, 14_400.0 + GRACE);
+    assert_valid_until(&lease, 100.0, 10_000.0 + GRACE);
+    lease.record_answer(at(4_400.0));
+    assert_valid_until(&lease, 4_500.0, 14_400.0 + GRACE);
 }
 
 #[test]
 fn after_a_failed_question_a_change_counts_6_s_after_it_was_made() {
     let mut lease = lease(Subscription::Polls);
-    lease.confirmed(at(4_400.0));
-    for failure in [Failure::Refused, Failure::Silent] {
-        lease.failed(at(8_900.0), failure);
-        good_until(&lease, 8_900.0, 10_400.0 + GRACE);
+    lease.record_answer(at(4_400.0));
+    for failure in [QueryFailure::Refused, QueryFailure::Silent] {
+        lease.record_failure(at(8_900.0), failure);
+        assert_valid_until(&lease, 8_900.0, 10_400.0 + GRACE);
     }
-    lease.confirmed(at(13_000.0));
-    good_until(&lease, 13_100.0, 23_000.0 + GRACE);
+    lease.record_answer(at(13_000.0));
+    assert_valid_until(&lease, 13_100.0, 23_000.0 + GRACE);
 }
 
 #[test]
 fn a_watch_renews_the_list_by_each_answer_only() {
     let mut lease = lease(Subscription::Watches);
-    good_until(&lease, 100.0, 6_000.0 + GRACE);
-    lease.failed(at(5_200.0), Failure::Silent);
-    good_until(&lease, 5_200.0, 6_000.0 + GRACE);
-    lease.confirmed(at(5_300.0));
-    good_until(&lease, 5_400.0, 11_300.0 + GRACE);
+    assert_valid_until(&lease, 100.0, 6_000.0 + GRACE);
+    lease.record_failure(at(5_200.0), QueryFailure::Silent);
+    assert_valid_until(&lease, 5_200.0, 6_000.0 + GRACE);
+    lease.record_answer(at(5_300.0));
+    assert_valid_until(&lease, 5_400.0, 11_300.0 + GRACE);
 }
 
 #[test]
 fn a_list_that_was_old_when_the_process_began_stays_so_once_a_question_failed() {
     let mut lease = ListLease::new(settings(Subscription::Polls), at(0.0), at(-5_000.0), false);
-    good_until(&lease, 10.0, 5_000.0 + GRACE);
-    lease.failed(at(200.0), Failure::Refused);
-    good_until(&lease, 200.0, 1_000.0 + GRACE);
+    assert_valid_until(&lease, 10.0, 5_000.0 + GRACE);
+    lease.record_failure(at(200.0), QueryFailure::Refused);
+    assert_valid_until(&lease, 200.0, 1_000.0 + GRACE);
     let in_vain = ListLease::new(settings(Subscription::Polls), at(0.0), at(-5_000.0), true);
-    good_until(&in_vain, 10.0, 1_000.0 + GRACE);
+    assert_valid_until(&in_vain, 10.0, 1_000.0 + GRACE);
 }
 
 #[test]
@@ -67,8 +67,8 @@
     let mut lease = lease(Subscription::Watches);
     for second in 1..60 {
         let now = f64::from(second) * 1_000.0;
-        lease.failed(at(now), Failure::Unreachable);
-        assert!(lease.good_until(at(now)).is_none_or(|until| until >= at(now + 6_000.0)));
+        lease.record_failure(at(now), QueryFailure::Unreachable);
+        assert!(lease.valid_until(at(now)).is_none_or(|until| until >= at(now + 6_000.0)));
     }
 }
 
@@ -76,44 +76,44 @@
 #[test]
 fn the_time_runs_again_once_somebody_listens() {
     let mut lease = lease(Subscription::Watches);
-    lease.failed(at(4_000.0), Failure::Unreachable);
-    lease.failed(at(4_500.0), Failure::Refused);
-    good_until(&lease, 4_500.0, 10_000.0 + GRACE);
+    lease.record_failure(at(4_000.0), QueryFailure::Unreachable);
+    lease.record_failure(at(4_500.0), QueryFailure::Refused);
+    assert_valid_until(&lease, 4_500.0, 10_000.0 + GRACE);
 }
 
 #[test]
 fn discovery_passes_for_down_once_all_questions_failed_for_long() {
     let mut lease = lease(Subscription::Watches);
-    lease.failed(at(500.0), Failure::Refused);
-    assert!(lease.good_until(at(16_000.0)).is_some(), "a single failure tells little");
-    lease.failed(at(15_900.0), Failure::Refused);
-    assert!(lease.good_until(at(15_999.0)).is_some());
-    assert!(lease.good_until(at(16_000.0)).is_none());
-    lease.confirmed(at(16_500.0));
-    good_until(&lease, 16_600.0, 22_500.0 + GRACE);
+    lease.record_failure(at(500.0), QueryFailure::Refused);
+    assert!(lease.valid_until(at(16_000.0)).is_some(), "a single failure tells little");
+    lease.record_failure(at(15_900.0), QueryFailure::Refused);
+    assert!(lease.valid_until(at(15_999.0)).is_some());
+    assert!(lease.valid_until(at(16_000.0)).is_none());
+    lease.record_answer(at(16_500.0));
+    assert_valid_until(&lease, 16_600.0, 22_500.0 + GRACE);
 }
 
 #[test]
 fn what_an_agent_has_counts_at_once_unless_a_watch_is_open() {
     let mut lease = lease(Subscription::Pushed);
-    good_until(&lease, 10.0, GRACE);
-    lease.confirmed(at(20.0));
-    good_until(&lease, 30.0, 6_020.0 + GRACE);
-    lease.failed(at(3_000.0), Failure::Refused);
-    lease.failed(at(3_500.0), Failure::Refused);
-    good_until(&lease, 3_500.0, 3_000.0 + GRACE);
+    assert_valid_until(&lease, 10.0, GRACE);
+    lease.record_answer(at(20.0));
+    assert_valid_until(&lease, 30.0, 6_020.0 + GRACE);
+    lease.record_failure(at(3_000.0), QueryFailure::Refused);
+    lease.record_failure(at(3_500.0), QueryFailure::Refused);
+    assert_valid_until(&lease, 3_500.0, 3_000.0 + GRACE);
 }
 
 #[test]
 fn a_source_that_moved_tells_within_4_s() {
     let mut lease = lease(Subscription::Polls);
-    lease.confirmed(at(4_400.0));
-    lease.moved(at(5_000.0));
-    good_until(&lease, 5_100.0, 9_000.0 + GRACE);
-    lease.confirmed(at(4_900.0));
-    good_until(&lease, 5_200.0, 9_000.0 + GRACE);
-    lease.confirmed(at(5_300.0));
-    good_until(&lease, 5_400.0, 15_300.0 + GRACE);
+    lease.record_answer(at(4_400.0));
+    lease.record_source_change(at(5_000.0));
+    assert_valid_until(&lease, 5_100.0, 9_000.0 + GRACE);
+    lease.record_answer(at(4_900.0));
+    assert_valid_until(&lease, 5_200.0, 9_000.0 + GRACE);
+    lease.record_answer(at(5_300.0));
+    assert_valid_until(&lease, 5_400.0, 15_300.0 + GRACE);
 }
 
 /// Where the grace is shorter than what is kept of it, the list is good until the change counts and no longer.
@@ -121,5 +121,5 @@
 fn a_short_grace_is_not_overdrawn() {
     let short = LeaseSettings { drain_grace: Span::millis(100), ..settings(Subscription::Watches) };
     let lease = ListLease::new(short, at(0.0), at(0.0), false);
-    good_until(&lease, 10.0, 6_000.0);
+    assert_valid_until(&lease, 10.0, 6_000.0);
 }
