--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -99,7 +99,7 @@
 }
 
 struct Owed {
-    handed: Handed,
+    handed: AcceptedText,
     nacks: u32,
     submits: usize,
     /// When a submit was sent that may have run, and whether it is still out.
@@ -184,14 +184,17 @@
         };
         let entries = vec![endpoint(0), endpoint(1)];
         let sender = &mut self.senders[n];
-        let mut events = vec![Event::Listed { scope: Scope::Complete, entries }];
+        let mut events = vec![Event::ListReceived { scope: Scope::Complete, entries }];
         for owed in sender.owed.values_mut() {
             owed.out = false;
             let left = owed.handed.valid_until.as_millis() - now;
             owed.found_untried = owed.submits == 0 && left >= VALID / 2.0;
             self.found.untried += usize::from(owed.found_untried);
-            let doubt = owed.doubt.map(|at| (Moment::from_millis(at), ZoneId(0)));
-            events.push(Event::Resumed(owed.handed.clone(), Past { submits: owed.submits, doubt }));
+            let first_in_doubt = owed.doubt.map(|at| (Moment::from_millis(at), ZoneId(0)));
+            events.push(Event::Resumed(
+                owed.handed.clone(),
+                SubmitHistory { submits: owed.submits, first_in_doubt },
+            ));
         }
         let actions = rules.step(Moment::from_millis(now), events);
         (sender.rules, sender.life) = (Some(rules), life);
@@ -210,20 +213,20 @@
                 Action::Submit { text, endpoint, time_out, .. } => {
                     self.call(now, n, text, endpoint, time_out)
                 }
-                Action::Nack { text, come_back_after } => {
+                Action::Nack { text, retry_after } => {
                     let Some(owed) = self.senders[n].owed.remove(&text.0) else { continue };
                     self.found.untried_lost += usize::from(owed.found_untried && owed.submits == 0);
                     // Clients come again after what they were told, which swells what is handed in.
                     if owed.nacks < 2 {
-                        let after = come_back_after.map_or(500.0, |after| after.as_millis().max(100.0));
+                        let after = retry_after.map_or(500.0, |after| after.as_millis().max(100.0));
                         self.put(now + after, Ev::HandIn(n, owed.nacks + 1));
                     }
-                    self.step(now, n, Event::Told(text));
+                    self.step(now, n, Event::EndReported(text));
                 }
                 Action::Undeliverable { text } => {
                     let Some(owed) = self.senders[n].owed.remove(&text.0) else { continue };
                     self.found.untried_lost += usize::from(owed.found_untried && owed.submits == 0);
-                    self.step(now, n, Event::Told(text));
+                    self.step(now, n, Event::EndReported(text));
                 }
                 Action::WakeAt(at) => {
                     self.senders[n].wake = at.as_millis();
@@ -260,7 +263,7 @@
             endpoint,
             verdict,
             in_doubt: false,
-            told_wait: None,
+            retry_after: None,
             latency,
             ended: false,
             allowance: None,
@@ -301,7 +304,8 @@
                 let text = TextId(sender.taken);
                 sender.taken += 1;
                 let valid_until = Moment::from_millis(now + VALID);
-                let handed = Handed { text, product: ProductId(0), dest: DestId(0), key: None, valid_until };
+                let handed =
+                    AcceptedText { text, product: ProductId(0), dest: DestId(0), key: None, valid_until };
                 let owed = Owed {
                     handed: handed.clone(),
                     nacks,
@@ -311,11 +315,11 @@
                     found_untried: false,
                 };
                 sender.owed.insert(text.0, owed);
-                self.step(now, n, Event::Taken(handed));
+                self.step(now, n, Event::Accepted(handed));
             }
             Ev::Wake(n, at) => {
                 if self.senders[n].wake == at {
-                    self.step(now, n, Event::Woken);
+                    self.step(now, n, Event::TimerFired);
                 }
             }
             Ev::Answer(n, life, outcome) => {
