--- a/src/connect_estimate.rs
+++ b/src/connect_estimate.rs
@@ -1,27 +1,29 @@
-//! How long a connection is waited for before another is tried.
+//! Estimates how long a connection attempt usually takes, and with it when a second attempt is started in
+//! parallel.
 //!
-//! A call that has to open its connection waits for packets that may be lost or held up, where a second try would come up at
-//! once. The time is estimated as RFC 6298 estimates when a segment is sent again: the smoothed time that connects take, and
-//! four times their mean deviation.
+//! A call that has to open its connection waits for handshake packets that may be lost or delayed, while a
+//! second attempt may succeed at once. The delay is estimated as RFC 6298 estimates the retransmission
+//! timeout: the smoothed connect time plus four times its mean deviation.
 
 use crate::time::Span;
 
-/// Weights of the newest sample in the smoothed time and in the deviation (RFC 6298, section 2.3).
+/// Weight of the newest sample in the smoothed connect time (RFC 6298, section 2.3).
 const SMOOTHED_WEIGHT: f64 = 0.125;
+/// Weight of the newest sample in the mean deviation (RFC 6298, section 2.3).
 const DEVIATION_WEIGHT: f64 = 0.25;
 const DEVIATIONS: f64 = 4.0;
-/// Less would try again for the jitter of a busy machine.
-const LEAST: Span = Span::millis(50);
+/// With a shorter delay, the scheduling jitter of a busy machine would trigger second attempts.
+const MIN_DELAY: Span = Span::millis(50);
 
-/// What connects to one endpoint have taken.
+/// Estimate of the connect time to one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectEstimate {
-    /// Smoothed time and mean deviation in milliseconds; none before the first came up.
+    /// Smoothed connect time and mean deviation in milliseconds; `None` before the first successful connect.
     estimate: Option<(f64, f64)>,
 }
 
 impl ConnectEstimate {
-    /// A connection came up after so long.
+    /// Records a successful connect that took `took`.
     pub fn record_connect(&mut self, took: Span) {
         let took = took.as_millis();
         let (smoothed, deviation) = self.estimate.unwrap_or((took, took));
@@ -29,9 +31,10 @@
         self.estimate = Some((smoothed + SMOOTHED_WEIGHT * (took - smoothed), deviation));
     }
 
-    /// After so long without a connection another is tried; none where nothing is known of the endpoint.
+    /// Returns the time without a connection after which a second attempt is started; `None` before the first
+    /// successful connect.
     pub fn second_attempt_delay(&self) -> Option<Span> {
         let (smoothed, deviation) = self.estimate?;
-        Some(Span::from_millis(smoothed + DEVIATIONS * deviation).max(LEAST))
+        Some(Span::from_millis(smoothed + DEVIATIONS * deviation).max(MIN_DELAY))
     }
 }
--- a/src/connection_sharing.rs
+++ b/src/connection_sharing.rs
@@ -1,79 +1,85 @@
-//! Which calls may share a connection, and what an answer on a shared connection proves.
+//! Decides which calls may share a connection, and to which call an answer on a shared connection belongs.
 //!
-//! HTTP/1.1 gives answers to calls by their order on the connection and by nothing else. Where one answer too many is written,
-//! a second copy or one that nobody asked for, each later call on that connection would be given the answer of another. So a
-//! connection carries one call, unless answers name the messages that they speak of, as those to calls of several messages
-//! do. On a connection that has carried another call an answer is believed only if it names messages of the call that is out.
+//! HTTP/1.1 matches answers to calls only by their order on the connection. If a receiver writes one answer
+//! too many, a duplicate or an unsolicited one, each later call on that connection would get the answer of
+//! another call. A connection therefore carries a single call, unless answers name the messages they report
+//! on, as answers to calls of several messages do. On a connection that has carried another call, an answer
+//! is accepted only if it names messages of the call in flight.
 //!
-//! An answer that names none, as a refusal does, may then be a stray one. The call may be running all the same: only messages
-//! that bear such doubt travel on shared connections.
+//! An answer that names no message, such as a refusal, may be a stray one on such a connection, and the call
+//! may be running nevertheless. So only messages that can be repeated after such an ambiguous refusal use
+//! shared connections.
 
 use crate::api::Repeat;
 use crate::time::Span;
 use std::collections::BTreeSet;
 
-/// Messages of all calls that a connection carries: their ids are kept until it ends.
-const MOST_MESSAGES: usize = 64;
+/// Maximum number of messages over all calls of one connection; bounds the ids kept until the connection
+/// closes.
+const MAX_MESSAGES: usize = 64;
 
-/// A receiver that remembers a message for less may have forgotten it before a refused call was made again.
-const LEAST_MEMORY: Span = Span::millis(5_000);
+/// Minimum time for which a receiver has to remember a message: with less it may have forgotten the message
+/// before a refused call is retried.
+const MIN_MEMORY: Span = Span::millis(5_000);
 
-/// Whether a message may travel where a refusal leaves it in doubt: it can be repeated, and is remembered by its receiver for long
-/// enough to be tried again.
+/// Returns whether a message may be sent on a shared connection, where a refusal does not prove that it never
+/// ran: it has to be safe to repeat, or its receiver has to remember it for long enough to recognize a retry.
 pub fn may_share_connection(repeat: Repeat) -> bool {
     match repeat {
         Repeat::Resendable => true,
-        Repeat::Referenced { memory, one_zone } => !one_zone && memory >= LEAST_MEMORY,
+        Repeat::Referenced { memory, one_zone } => !one_zone && memory >= MIN_MEMORY,
         Repeat::OnceOnly => false,
     }
 }
 
-/// What an answer has to do with the call that is out on its connection.
+/// How an answer relates to the call in flight on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Attribution {
-    /// It names messages of the call.
+    /// The answer names messages of the call.
     Named,
-    /// Nothing else was asked on the connection.
+    /// The connection has carried no other call.
     OnlyCall,
-    /// It names messages of earlier calls and none of this one: the call's own answer is still to come.
+    /// The answer names messages of earlier calls and none of this one; the call's own answer is still
+    /// outstanding.
     Stray,
-    /// It names no message that was ever asked for here: it may be the call's, or a stray one.
+    /// The answer names no message that was sent on this connection; it may belong to the call or be a stray
+    /// one.
     Unknown,
 }
 
 impl Attribution {
-    /// Whether what the answer says holds for the call.
+    /// Returns whether the answer is known to belong to the call.
     pub fn is_certain(self) -> bool {
         matches!(self, Attribution::Named | Attribution::OnlyCall)
     }
 }
 
-/// What one connection has carried so far.
+/// The calls that one connection has carried so far.
 #[derive(Debug, Default)]
 pub struct ConnectionHistory {
     calls: usize,
-    /// Ids of the messages of the calls before the one that is out.
+    /// Ids of the messages of all calls before the current one.
     earlier: BTreeSet<String>,
-    /// Ids of those of the call that is out, or was out last.
+    /// Ids of the messages of the call in flight, or of the last one.
     current: Vec<String>,
 }
 
 impl ConnectionHistory {
-    /// Whether a call of these messages may go on this connection. A message travels on it once: an answer that names it could
-    /// be a second copy of the one before.
+    /// Returns whether a call of these messages may use this connection. A connection carries each message at
+    /// most once, as an answer that names a repeated message could be a duplicate of the earlier answer.
     pub fn may_carry<'a>(&self, mut messages: impl Iterator<Item = &'a str>) -> bool {
         let carried = |id: &str| self.earlier.contains(id) || self.current.iter().any(|other| other == id);
-        self.calls == 0 || (self.earlier.len() + self.current.len() < MOST_MESSAGES && !messages.any(carried))
+        self.calls == 0 || (self.earlier.len() + self.current.len() < MAX_MESSAGES && !messages.any(carried))
     }
 
-    /// A call of these messages goes out on it.
+    /// Records that a call of these messages is sent.
     pub fn begin_call<'a>(&mut self, messages: impl Iterator<Item = &'a str>) {
         self.calls += 1;
         self.earlier.extend(self.current.drain(..));
         self.current.extend(messages.map(str::to_owned));
     }
 
-    /// What an answer proves that names these messages.
+    /// Returns how an answer that names these messages relates to the call in flight.
     pub fn attribute_answer<'a>(&self, mut named: impl Iterator<Item = &'a str> + Clone) -> Attribution {
         if named.clone().any(|id| self.current.iter().any(|own| own == id)) {
             Attribution::Named
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,14 @@
-//! indigomast decides when, where and how often a text is handed to an outside receiver.
+//! indigomast decides when, where and how often a text is submitted to an external receiver.
 //!
-//! [`rules::Rules`] is the decision maker: [`rules::Rules::step`] takes what happened and returns what to do.
-//! [`connection_sharing`] says which calls may share a connection, and what an answer there proves.
-//! [`connect_estimate::ConnectEstimate`] says when a second connection is tried.
-//! [`list_lease::ListLease`] says until when the list of endpoints may be acted on.
-//! [`api`] holds the events, actions, settings and ids of that exchange. Nothing here reads a clock, a socket
-//! or the environment, so whatever carries the calls can be put in front of the same decisions.
+//! - [`rules::Rules`] makes the decisions: [`rules::Rules::step`] takes events and returns actions.
+//! - [`api`] defines the events, actions, settings and ids that it exchanges with its caller.
+//! - [`connection_sharing`] decides which calls may share a connection, and to which call an answer belongs.
+//! - [`connect_estimate::ConnectEstimate`] decides when a second connection attempt is started.
+//! - [`list_lease::ListLease`] limits how long a list of endpoints may be used.
+//! - [`time`] defines points in time and spans, [`rng`] a seeded random number generator.
+//!
+//! This crate reads no clock, no socket and no environment variable, so the same decisions can run in a real
+//! process and in a simulation.
 
 pub mod api;
 pub mod connect_estimate;
--- a/src/list_lease.rs
+++ b/src/list_lease.rs
@@ -1,162 +1,182 @@
-//! Until when a sender may act on the list of endpoints that it holds.
+//! The lease that limits how long a sender may use its list of endpoints.
 //!
-//! A list is a claim about one moment. What has changed since counts as told some time after discovery had it, whether or not
-//! it arrived, so a list is held under a lease: it runs from the moment as of which the list is known to be whole, and each
-//! answer renews it. Once it has lapsed an endpoint on the list may be one that drains, and nothing new goes to any of them.
+//! A list describes one moment. A later change counts as announced a fixed time after discovery had it,
+//! whether or not it reached the sender. The lease of a list therefore starts at the moment as of which the
+//! list is known to be complete, and each answer renews it. After it has expired, any listed endpoint may be
+//! draining, and no new call goes to any of them.
 //!
-//! The lease doesn't run while nobody listens at discovery, as nothing is told then. Where discovery has turned down or left
-//! unanswered each question for long it passes for down as well: who can't be told for good would stop for good.
+//! The lease does not run while connections to discovery are refused, as no change is announced then.
+//! Discovery that has rejected or left unanswered all queries for a long time is treated as down as well;
+//! otherwise a sender that it never answers again would stop sending for good.
 
 use crate::time::{Moment, Span};
 
-/// To a watch, and to a sender whose question failed, a change counts as told so long after discovery had it and could be reached.
-const TOLD_WITHIN: Span = Span::millis(6_000);
-/// The same after the source of the list was moved.
-const TOLD_AFTER_MOVE: Span = Span::millis(4_000);
-/// Kept free of the grace for what lies between a decision and the first byte of its call.
-const GRACE_KEPT: Span = Span::millis(200);
-/// How long a sender may go without asking where settings don't say.
-const POLL_TERM: Span = Span::millis(10_000);
-/// Fewer failures in a row than this don't make discovery pass for down.
-const LEAST_FAILURES: u32 = 2;
+/// For a sender that watches, or whose query failed, a change counts as announced this long after discovery
+/// had it and was reachable.
+const ANNOUNCED_WITHIN: Span = Span::millis(6_000);
+/// The same limit after the source of the list has changed.
+const ANNOUNCED_WITHIN_AFTER_SOURCE_CHANGE: Span = Span::millis(4_000);
+/// Part of the drain grace that is reserved for the delay between a decision and the first byte of its call.
+const GRACE_RESERVE: Span = Span::millis(200);
+/// Longest permitted time between queries if the settings contain none.
+const DEFAULT_MAX_POLL_INTERVAL: Span = Span::millis(10_000);
+/// Minimum number of consecutive failures before discovery is treated as down.
+const MIN_FAILURES_FOR_DOWN: u32 = 2;
 
 /// How a sender learns of changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subscription {
-    /// It asks from time to time.
+    /// The sender queries discovery at intervals.
     Polls,
-    /// A question is always open and answered as soon as something changes.
+    /// The sender keeps a long-running query open, which discovery answers as soon as something changes.
     Watches,
-    /// An agent has all changes at once, and what it has counts as told.
+    /// An agent receives each change at once, and a change that the agent has counts as announced.
     Pushed,
 }
 
-/// What the settings say of it.
+/// The settings that determine the length of a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseSettings {
+    /// How the sender learns of changes.
     pub subscription: Subscription,
-    /// How long a sender that polls may go without asking; zero where that isn't said.
+    /// Longest permitted time between two queries of a sender that polls; zero selects the default.
     pub max_poll_interval: Span,
-    /// For so long calls may still go to an endpoint after it was told that it drains.
+    /// How long calls may still be sent to an endpoint after it was announced as draining.
     pub drain_grace: Span,
 }
 
-/// How a question failed.
+/// How a query of discovery failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryFailure {
-    /// Nobody listens there.
+    /// The connection was refused.
     Unreachable,
-    /// It was turned down, broke off, or could not be read.
+    /// The query was rejected, the connection broke, or the answer could not be parsed.
     Refused,
-    /// Nothing came.
+    /// The query timed out.
     Silent,
 }
 
-/// The lease of one list. A step of the clock is none of its concern: moments only ever go forwards.
+/// The lease of one list. It expects monotonic time, so steps of the wall clock do not affect it.
 #[derive(Clone, Debug)]
 pub struct ListLease {
     settings: LeaseSettings,
-    begun: Moment,
-    /// The list in force holds all that discovery had at this moment.
+    /// When this process started.
+    started: Moment,
+    /// The list contains all that discovery had at this moment.
     as_of: Moment,
-    /// Whether this process has had an answer.
+    /// Whether this process has received an answer.
     answered: bool,
-    /// Failures since the last answer, and when the first came of those that ended a call.
+    /// Failures since the last answer.
     failures: u32,
-    cut_off: Option<Moment>,
-    /// Nobody listened at discovery then.
-    unreachable: Option<Moment>,
-    /// The source was moved then, and no answer has come since.
-    moved: Option<Moment>,
+    /// When the first `Refused` failure since the last answer occurred.
+    first_refused: Option<Moment>,
+    /// When discovery last refused a connection since the last answer.
+    last_unreachable: Option<Moment>,
+    /// When the source of the list changed, if no query sent since then has been answered.
+    source_changed: Option<Moment>,
 }
 
 impl ListLease {
-    /// For a process that begins now with a list that was whole at `as_of`, as far as is known; `failed` where the process before
-    /// has asked in vain since.
+    /// Creates the lease of a process that starts at `now` with a list known to be complete as of `as_of`;
+    /// `failed` says that a query of the previous process has failed since then.
     pub fn new(settings: LeaseSettings, now: Moment, as_of: Moment, failed: bool) -> ListLease {
         ListLease {
             settings,
-            begun: now,
+            started: now,
             as_of: as_of.min(now),
             answered: false,
             failures: u32::from(failed),
-            cut_off: None,
-            unreachable: None,
-            moved: None,
+            first_refused: None,
+            last_unreachable: None,
+            source_changed: None,
         }
     }
 
-    /// Other settings are in force.
+    /// Replaces the settings.
     pub fn update_settings(&mut self, settings: LeaseSettings) {
         self.settings = settings;
     }
 
-    /// An answer came to a question that was sent at `asked`: the list is whole as of then.
-    pub fn record_answer(&mut self, asked: Moment) {
-        self.as_of = self.as_of.max(asked);
+    /// Records an answer to a query sent at `sent_at`, as of which the list is complete.
+    pub fn record_answer(&mut self, sent_at: Moment) {
+        self.as_of = self.as_of.max(sent_at);
         self.answered = true;
-        (self.failures, self.cut_off, self.unreachable) = (0, None, None);
-        self.moved = self.moved.filter(|moved| asked < *moved);
+        (self.failures, self.first_refused, self.last_unreachable) = (0, None, None);
+        self.source_changed = self.source_changed.filter(|changed| sent_at < *changed);
     }
 
+    /// Records a failed query.
     pub fn record_failure(&mut self, now: Moment, failure: QueryFailure) {
         self.failures += 1;
         match failure {
-            QueryFailure::Unreachable => self.unreachable = Some(now),
-            QueryFailure::Refused => _ = self.cut_off.get_or_insert(now),
+            QueryFailure::Unreachable => self.last_unreachable = Some(now),
+            QueryFailure::Refused => _ = self.first_refused.get_or_insert(now),
             QueryFailure::Silent => {}
         }
     }
 
-    /// The source of the list is another one from now on, or tells all anew.
+    /// Records that the list comes from another source from now on, or that its source announces everything
+    /// anew.
     pub fn record_source_change(&mut self, now: Moment) {
-        self.moved = Some(now);
+        self.source_changed = Some(now);
     }
 
-    /// Whether a question has failed since the last answer.
+    /// Returns whether a query has failed since the last answer.
     pub fn has_failed(&self) -> bool {
         self.failures > 0
     }
 
-    /// As of when the list is known to be whole.
+    /// Returns the moment as of which the list is known to be complete.
     pub fn as_of(&self) -> Moment {
         self.as_of
     }
 
-    /// Whether discovery passes for down.
-    fn passes_for_down(&self, now: Moment) -> bool {
-        let begun = self.begun.max(self.as_of).max(self.moved.unwrap_or(self.begun));
-        let term = if self.settings.max_poll_interval == Span::ZERO {
-            POLL_TERM
+    /// Returns whether discovery is treated as down: all queries have failed for the longest poll interval
+    /// plus `ANNOUNCED_WITHIN`.
+    fn discovery_is_down(&self, now: Moment) -> bool {
+        let since = self.started.max(self.as_of).max(self.source_changed.unwrap_or(self.started));
+        let interval = if self.settings.max_poll_interval == Span::ZERO {
+            DEFAULT_MAX_POLL_INTERVAL
         } else {
             self.settings.max_poll_interval
         };
-        self.failures >= LEAST_FAILURES && now >= begun + term + TOLD_WITHIN
+        self.failures >= MIN_FAILURES_FOR_DOWN && now >= since + interval + ANNOUNCED_WITHIN
     }
 
-    /// Until when new calls may go out by the list, as far as is known now; none where nothing ends that.
+    /// Returns until when new calls may be sent according to the list, as far as is known now; `None` means
+    /// without limit.
     pub fn valid_until(&self, now: Moment) -> Option<Moment> {
-        if self.passes_for_down(now) {
+        if self.discovery_is_down(now) {
             return None;
         }
         let LeaseSettings { subscription, max_poll_interval, drain_grace } = self.settings;
-        let within =
-            if max_poll_interval == Span::ZERO { TOLD_WITHIN } else { max_poll_interval.min(TOLD_WITHIN) };
-        let reached = |from: Moment| from.max(self.unreachable.unwrap_or(from));
-        let told = match subscription {
+        let within = if max_poll_interval == Span::ZERO {
+            ANNOUNCED_WITHIN
+        } else {
+            max_poll_interval.min(ANNOUNCED_WITHIN)
+        };
+        let not_while_unreachable = |from: Moment| from.max(self.last_unreachable.unwrap_or(from));
+        let announced = match subscription {
             Subscription::Polls if self.failures == 0 => {
-                let term = if max_poll_interval == Span::ZERO { POLL_TERM } else { max_poll_interval };
-                self.as_of + term
+                let interval = if max_poll_interval == Span::ZERO {
+                    DEFAULT_MAX_POLL_INTERVAL
+                } else {
+                    max_poll_interval
+                };
+                self.as_of + interval
             }
-            Subscription::Polls | Subscription::Watches => reached(self.as_of) + within,
-            // What the agent has counts from the first moment of a process, and whether or not a watch is open.
-            Subscription::Pushed if !self.answered => reached(self.begun),
-            Subscription::Pushed => reached(self.cut_off.unwrap_or(self.as_of + within)),
+            Subscription::Polls | Subscription::Watches => not_while_unreachable(self.as_of) + within,
+            // A change that the agent has counts as announced from the start of the process, even before a
+            // watch is open.
+            Subscription::Pushed if !self.answered => not_while_unreachable(self.started),
+            Subscription::Pushed => not_while_unreachable(self.first_refused.unwrap_or(self.as_of + within)),
         };
-        let told = match self.moved {
-            Some(moved) => told.min(reached(moved) + TOLD_AFTER_MOVE),
-            None => told,
+        let announced = match self.source_changed {
+            Some(changed) => {
+                announced.min(not_while_unreachable(changed) + ANNOUNCED_WITHIN_AFTER_SOURCE_CHANGE)
+            }
+            None => announced,
         };
-        Some(told + drain_grace.saturating_sub(GRACE_KEPT))
+        Some(announced + drain_grace.saturating_sub(GRACE_RESERVE))
     }
 }
