--- a/tests/connection_sharing.rs
+++ b/tests/connection_sharing.rs
@@ -1,8 +1,9 @@
-//! What an answer on a shared connection proves, walked over all short orders of calls and stray answers.
+//! Tests to which call an answer on a shared connection is attributed, over all short sequences of calls and
+//! stray answers.
 
 use indigomast::connection_sharing::{Attribution, ConnectionHistory};
 
-/// An answer: the call that it was written to, and the messages that it names; a refusal names none.
+/// An answer: the call it was written for, and the messages it names; a refusal names none.
 #[derive(Clone, Debug)]
 struct Answer {
     call: Option<usize>,
@@ -11,63 +12,64 @@
 
 const MESSAGES: [&str; 3] = ["a", "b", "c"];
 const CALLS: usize = 4;
-/// Stray answers before the true one of each call.
-const STRAYS: usize = 2;
+/// Number of stray answers before the actual answer of each call.
+const STRAY_COUNT: usize = 2;
 
-fn proof(connection: &ConnectionHistory, answer: &Answer) -> Attribution {
+fn attribution(connection: &ConnectionHistory, answer: &Answer) -> Attribution {
     connection.attribute_answer(answer.names.iter().copied())
 }
 
-/// Plays each way to go on, and counts the calls that were answered on a connection that had carried others.
-fn walk(connection: &dyn Fn() -> ConnectionHistory, written: &[Answer], shared: &mut usize) {
+/// Tries every continuation recursively, and counts the calls answered on a connection that had carried other
+/// calls.
+fn check_continuations(connection: &dyn Fn() -> ConnectionHistory, written: &[Answer], shared: &mut usize) {
     if written.len() == CALLS {
         return;
     }
-    // Each set of messages, as a call of one or several.
+    // Each non-empty set of messages, as a call of one or several.
     for set in 1..1 << MESSAGES.len() {
         let ids: Vec<&'static str> =
             (0..MESSAGES.len()).filter(|at| set >> at & 1 == 1).map(|at| MESSAGES[at]).collect();
         if !connection().may_carry(ids.iter().copied()) {
             continue;
         }
-        let begun = || {
+        let with_call = || {
             let mut connection = connection();
             connection.begin_call(ids.iter().copied());
             connection
         };
         let call = written.len();
         let refusal = Answer { call: None, names: Vec::new() };
-        let foreign = Answer { call: None, names: vec!["x"] };
+        let unknown_message = Answer { call: None, names: vec!["x"] };
         let mut strays: Vec<Answer> = written.to_vec();
-        // On a connection's first call nothing tells a stray refusal from a true one.
+        // On the first call of a connection a stray refusal cannot be distinguished from the actual one.
         if call > 0 {
-            strays.extend([refusal, foreign]);
+            strays.extend([refusal, unknown_message]);
         }
         for stray in &strays {
-            let proof = proof(&begun(), stray);
-            assert!(!proof.is_certain(), "{stray:?} is believed to answer call {call} of {ids:?}");
-            // A copy that is passed over any number of times changes nothing.
-            for _ in 0..STRAYS {
-                assert_eq!(self::proof(&begun(), stray), proof);
+            let attribution = attribution(&with_call(), stray);
+            assert!(!attribution.is_certain(), "{stray:?} is believed to answer call {call} of {ids:?}");
+            // Skipping a duplicate any number of times changes nothing.
+            for _ in 0..STRAY_COUNT {
+                assert_eq!(self::attribution(&with_call(), stray), attribution);
             }
             assert_eq!(
-                proof == Attribution::Stray,
+                attribution == Attribution::Stray,
                 stray.call.is_some(),
                 "{stray:?} before the answer of {ids:?}"
             );
         }
-        let own = Answer { call: Some(call), names: ids.clone() };
-        assert_eq!(proof(&begun(), &own), Attribution::Named);
+        let actual = Answer { call: Some(call), names: ids.clone() };
+        assert_eq!(attribution(&with_call(), &actual), Attribution::Named);
         *shared += usize::from(call > 0);
-        // Only behind an answer that names its messages the connection is used again.
-        walk(&begun, &[written, &[own]].concat(), shared);
+        // The connection is reused only after an answer that names its messages.
+        check_continuations(&with_call, &[written, &[actual]].concat(), shared);
     }
 }
 
 #[test]
 fn no_answer_is_believed_that_was_written_to_another_call() {
     let mut shared = 0;
-    walk(&ConnectionHistory::default, &[], &mut shared);
+    check_continuations(&ConnectionHistory::default, &[], &mut shared);
     assert!(shared > 10, "{shared} calls on connections that had carried others");
 }
 
@@ -80,7 +82,8 @@
     }
 }
 
-/// Guards against an answer that names a message again, as on the call before, and passes for the later call's.
+/// Guards against a duplicate of an earlier answer that is taken for the answer to a later call of the same
+/// message.
 #[test]
 fn a_message_travels_on_a_connection_once() {
     let mut connection = ConnectionHistory::default();
--- a/tests/list_lease.rs
+++ b/tests/list_lease.rs
@@ -1,4 +1,4 @@
-//! Until when a list may be acted on, by each sentence on when a change counts as told.
+//! Tests until when a list of endpoints may be used, for each rule on when a change counts as announced.
 
 use indigomast::list_lease::{LeaseSettings, ListLease, QueryFailure, Subscription};
 use indigomast::time::{Moment, Span};
@@ -58,8 +58,8 @@
     assert_valid_until(&lease, 10.0, 5_000.0 + GRACE);
     lease.record_failure(at(200.0), QueryFailure::Refused);
     assert_valid_until(&lease, 200.0, 1_000.0 + GRACE);
-    let in_vain = ListLease::new(settings(Subscription::Polls), at(0.0), at(-5_000.0), true);
-    assert_valid_until(&in_vain, 10.0, 1_000.0 + GRACE);
+    let after_failed_query = ListLease::new(settings(Subscription::Polls), at(0.0), at(-5_000.0), true);
+    assert_valid_until(&after_failed_query, 10.0, 1_000.0 + GRACE);
 }
 
 #[test]
@@ -72,7 +72,8 @@
     }
 }
 
-/// It is there again, and turns all away: what it has counts from the last moment at which nobody listened.
+/// Discovery is back and rejects all queries: its changes count from the last moment at which it was
+/// unreachable.
 #[test]
 fn the_time_runs_again_once_somebody_listens() {
     let mut lease = lease(Subscription::Watches);
@@ -85,7 +86,7 @@
 fn discovery_passes_for_down_once_all_questions_failed_for_long() {
     let mut lease = lease(Subscription::Watches);
     lease.record_failure(at(500.0), QueryFailure::Refused);
-    assert!(lease.valid_until(at(16_000.0)).is_some(), "a single failure tells little");
+    assert!(lease.valid_until(at(16_000.0)).is_some(), "a single failure does not make discovery down");
     lease.record_failure(at(15_900.0), QueryFailure::Refused);
     assert!(lease.valid_until(at(15_999.0)).is_some());
     assert!(lease.valid_until(at(16_000.0)).is_none());
@@ -116,7 +117,8 @@
     assert_valid_until(&lease, 5_400.0, 15_300.0 + GRACE);
 }
 
-/// Where the grace is shorter than what is kept of it, the list is good until the change counts and no longer.
+/// If the drain grace is shorter than the reserved part of it, the list is valid until the change counts and
+/// no longer.
 #[test]
 fn a_short_grace_is_not_overdrawn() {
     let short = LeaseSettings { drain_grace: Span::millis(100), ..settings(Subscription::Watches) };
