--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -15,29 +15,29 @@
 pub mod control;
 pub mod counters;
 pub mod decider;
+pub mod endpoint_table;
 pub mod figures;
 pub mod handover;
 pub mod http;
-pub mod ids;
 pub mod intake;
-pub mod keys;
 pub mod limits;
 pub mod link;
 pub mod list;
 pub mod list_file;
 pub mod log;
 pub mod notices;
+pub mod ordering_keys;
 pub mod peer;
-pub mod places;
 pub mod platform;
 pub mod poll_schedule;
+pub mod product_table;
 pub mod reactor;
+pub mod request_ids;
 pub mod ring;
-pub mod terms;
+pub mod text_journal;
 pub mod texts_log;
 pub mod threads;
 pub mod versions;
-pub mod wal;
 pub mod whole_file;
 
 use ::log::LevelFilter;
@@ -49,8 +49,8 @@
 use indigomast_admission::Budget;
 use indigomast_handover::{Incumbent, Successor, SuccessorStep};
 use limits::Limits;
-use list::Source;
-use list_file::{LastList, ListKeeper};
+use list::ListSource;
+use list_file::{ListSaver, SavedList};
 use notices::Reporter;
 use platform::Platform;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -64,7 +64,7 @@
 use versions::{FORMATS, Floor, VERSION};
 
 /// The way to the decider.
-pub type Mailbox = crossbeam_channel::Sender<decider::Word>;
+pub type Mailbox = crossbeam_channel::Sender<decider::Message>;
 
 /// A sender that runs.
 pub struct Sender {
@@ -78,7 +78,7 @@
     reloader: Reloader,
     ended: Receiver<threads::Ended>,
     /// The decider's mailbox, for what nobody has read when it ends.
-    unread: Receiver<decider::Word>,
+    unread: Receiver<decider::Message>,
     /// Whether the socket for clients is shared with other processes, one of which may take over.
     shared: bool,
     /// Callers at the second address are served as long as this is there.
@@ -99,7 +99,7 @@
     pub fn stop(&self) {
         if !self.stopping.swap(true, Ordering::Relaxed) {
             self.ready.store(false, Ordering::Relaxed);
-            _ = self.decider.send(decider::Word::Stop);
+            _ = self.decider.send(decider::Message::Stop);
             self.intake.clients.shut_rested();
         }
     }
@@ -109,7 +109,7 @@
 #[derive(Clone)]
 pub struct Reloader {
     platform: Option<Arc<Platform>>,
-    list: crossbeam_channel::Sender<list::Ask>,
+    list: crossbeam_channel::Sender<list::ListRequest>,
     decider: Mailbox,
     in_force: Arc<InForce>,
     figures: Arc<Figures>,
@@ -144,7 +144,7 @@
         config.follows(&self.in_force.get(), &keys, self.listen)?;
         let Config { outside, site, keys: now, revision, .. } = config;
         let (reply, answer) = bounded(1);
-        let change = decider::Word::Settings(Box::new(decider::Change { site, reply }));
+        let change = decider::Message::ChangeSettings(Box::new(decider::SettingsChange { site, reply }));
         let unheard = "the sender is too busy to take them over";
         self.decider.send_timeout(change, self.patience).map_err(|_| unheard)?;
         // Once it is in the mailbox it is taken over, however late.
@@ -162,7 +162,7 @@
 
     /// Has the source tell its list anew. What it held back for being doubtful is confirmed by that.
     pub fn renew(&self) {
-        _ = self.list.send(list::Ask::Renew);
+        _ = self.list.send(list::ListRequest::Renew);
     }
 }
 
@@ -235,9 +235,9 @@
             None => None,
         };
         let complain = |e: io::Error| format!("ROUTER_STATE: {}: {e}", state.display());
-        let (shared, mut wal) = match &passed {
+        let (shared, mut journal) = match &passed {
             Some(_) => (true, succeed(&state, &limits, clock, &ready, told)?),
-            None => (false, wal::Wal::open(&state, &limits, clock.now()).map_err(complain)?),
+            None => (false, text_journal::TextJournal::open(&state, &limits, clock.now()).map_err(complain)?),
         };
         let handover_state = handover::HandoverState::take(&state).filter(|handover_state| {
             let same = |names: &indigomast_site::Names<String>, left: &[String]| {
@@ -252,25 +252,25 @@
         // The standard library asks for 128; asked again, the kernel takes the new length over.
         rustix::net::listen(&listener, limits.backlog).map_err(|e| format!("listen: {listen}: {e}"))?;
         let address = listener.local_addr().map_err(|e| format!("listen: {e}"))?;
-        let table = decider::settle(&mut wal, &mut site, &figures);
+        let table = decider::reconcile_products(&mut journal, &mut site, &figures);
         let (limits, in_force) = (Arc::new(limits), Arc::new(InForce::new(site)));
         let (list, asks) = bounded(limits.mailbox);
         let (notices, inbox) = bounded(limits.texts);
         let threadless = |e: std::io::Error| format!("no thread: {e}");
         let stack = limits.stack;
 
-        let (mut platform, mut list_keeper) = (None, None);
-        let (source, reporter): (Box<dyn Source>, Box<dyn Reporter>) = match outside {
+        let (mut platform, mut list_saver) = (None, None);
+        let (source, reporter): (Box<dyn ListSource>, Box<dyn Reporter>) = match outside {
             Outside::Own { source, reporter } => (source, reporter),
             Outside::Platform(discovery) => {
-                let last = LastList::read(&state);
+                let last = SavedList::read(&state);
                 let overruled = last
                     .as_ref()
-                    .is_some_and(|last| last.overrules(&mut known.members, known.revision, discovery));
+                    .is_some_and(|last| last.stop_missing(&mut known.members, known.revision, discovery));
                 let there = Arc::clone(platform.insert(Arc::new(Platform::at(discovery))));
                 let (folder, tells) = (state.clone(), Arc::clone(&there));
-                list_keeper = Some(ListKeeper::new(folder, tells, last.as_ref(), known.revision));
-                let actor = list::List {
+                list_saver = Some(ListSaver::new(folder, tells, last.as_ref(), known.revision));
+                let actor = list::DiscoverySource {
                     platform: Arc::clone(&there),
                     site: Arc::clone(&in_force),
                     limits: Arc::clone(&limits),
@@ -280,15 +280,15 @@
                         None => Some(known.revision).filter(|_| !overruled),
                     },
                     clock,
-                    asked_in_vain: last.as_ref().is_some_and(|last| last.failed),
+                    query_failed: last.as_ref().is_some_and(|last| last.failed),
                     as_of: last.map_or(clock.now(), |last| last.as_of),
                 };
-                let post = notices::Post::new(Arc::clone(&limits));
-                (Box::new(actor), Box::new(notices::ToPlatform { platform: there, post }))
+                let post = notices::HttpPoster::new(Arc::clone(&limits));
+                (Box::new(actor), Box::new(notices::PlatformReporter { platform: there, post }))
             }
         };
-        let teller = list::Teller::new(decider.clone(), Arc::clone(&counters));
-        threads::actor("list", stack, &over, move || source.run(asks, teller)).map_err(threadless)?;
+        let list_sink = list::ListSink::new(decider.clone(), Arc::clone(&counters));
+        threads::actor("list", stack, &over, move || source.run(asks, list_sink)).map_err(threadless)?;
 
         let reloader = Reloader {
             platform,
@@ -300,7 +300,7 @@
             keys: Arc::new(Mutex::new(keys)),
             patience: limits.order_time,
         };
-        let actor = notices::Notices { reporter, limits: Arc::clone(&limits), decider: decider.clone() };
+        let actor = notices::Notifier { reporter, limits: Arc::clone(&limits), decider: decider.clone() };
         threads::actor("notices", stack, &over, move || actor.run(inbox)).map_err(threadless)?;
 
         let budget = Budget::new(limits.descriptors, limits.shares);
@@ -317,7 +317,7 @@
         let intake = Arc::new(intake);
         let handover = match shared {
             true => Some(decider::Handover {
-                watch: handover::Watch::new(&state, limits.asked_beat).map_err(complain)?,
+                watch: handover::SuccessorWatch::new(&state, limits.asked_beat).map_err(complain)?,
                 machine: Incumbent::new(limits.handover),
                 intake: Arc::clone(&intake),
                 folder: state,
@@ -326,7 +326,7 @@
         };
         let actor = decider::Decider {
             clock,
-            list_keeper,
+            list_saver,
             limits: Arc::clone(&limits),
             counters: Arc::clone(&counters),
             figures: Arc::clone(&figures),
@@ -335,7 +335,7 @@
             trunk: Arc::new(trunk),
             list,
             notices,
-            wal,
+            journal,
             seed,
             known,
             handover_state,
@@ -407,21 +407,21 @@
     clock: Clock,
     ready: &AtomicBool,
     told: &mut dyn FnMut() -> bool,
-) -> Result<wal::Wal, String> {
+) -> Result<text_journal::TextJournal, String> {
     let complain = |e: io::Error| format!("ROUTER_STATE: {}: {e}", state.display());
     let at_once = Limits { lock_wait: Duration::ZERO, ..limits.clone() };
     let (mut machine, mut asking) = (Successor::new(limits.handover, clock.now()), None);
     loop {
-        let owned = match wal::Wal::open(state, &at_once, clock.now()) {
+        let owned = match text_journal::TextJournal::open(state, &at_once, clock.now()) {
             Err(e) if e.kind() == ErrorKind::ResourceBusy => None,
             opened => Some(opened.map_err(complain)?),
         };
         if asking.is_none() && owned.is_none() {
-            asking = handover::Asking::begin(state).map_err(complain)?;
+            asking = handover::SuccessorLock::try_acquire(state).map_err(complain)?;
         }
         let step = machine.step(clock.now(), owned.is_some());
-        if let (Some(SuccessorStep::TakeOver), Some(wal)) = (step, owned) {
-            return Ok(wal);
+        if let (Some(SuccessorStep::TakeOver), Some(journal)) = (step, owned) {
+            return Ok(journal);
         }
         if step == Some(SuccessorStep::ReportReady) {
             // Before it is said: whoever reads it asks.
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -115,12 +115,12 @@
     }
 
     fn list(&mut self, scope: Scope, entries: Vec<Entry>) -> Vec<Action> {
-        self.step(vec![Event::Listed { scope, entries }])
+        self.step(vec![Event::ListReceived { scope, entries }])
     }
 
     fn taken(&mut self, product: usize, dest: usize, key: Option<usize>, lives: f64) -> Event {
         self.taken += 1;
-        Event::Taken(Handed {
+        Event::Accepted(AcceptedText {
             text: TextId(self.taken - 1),
             product: ProductId(product),
             dest: DestId(dest),
@@ -147,10 +147,10 @@
             endpoint,
             verdict,
             in_doubt: self.in_doubt,
-            told_wait: wait.map(Span::millis),
+            retry_after: wait.map(Span::millis),
             latency: Span::millis(self.latency),
             ended: verdict == Verdict::Delivered,
-            allowance: self.told.map(|rate| Allowance { share_left: self.left, calls_per_sec: rate }),
+            allowance: self.told.map(|rate| Allowance { remaining_share: self.left, calls_per_sec: rate }),
         };
         self.step(vec![Event::Outcome(outcome)])
     }
@@ -162,7 +162,7 @@
         while self.now < end {
             self.now += 5.0;
             let now = self.now;
-            done.extend(self.step(vec![Event::Woken]).into_iter().map(|a| (now, a)));
+            done.extend(self.step(vec![Event::TimerFired]).into_iter().map(|a| (now, a)));
         }
         done
     }
@@ -355,7 +355,7 @@
         if rests {
             let done: Vec<Action> = bench.pass(50.0).into_iter().map(|(_, a)| a).collect();
             assert!(submits(&done).is_empty(), "given up, but nobody has been told");
-            let done = bench.step(vec![Event::Told(TextId(0))]);
+            let done = bench.step(vec![Event::EndReported(TextId(0))]);
             assert_eq!(submits(&done).iter().map(|s| s.0).collect::<Vec<_>>(), [1]);
         }
     }
@@ -363,10 +363,10 @@
 
 #[test]
 fn a_resumed_text_goes_on_where_an_earlier_life_left_it() {
-    let sure = |submits| Past { submits, doubt: None };
-    let doubt = |submits, ago: i64| Past {
+    let sure = |submits| SubmitHistory { submits, first_in_doubt: None };
+    let doubt = |submits, ago: i64| SubmitHistory {
         submits,
-        doubt: Some((Moment::from_millis(100_000.0) - Span::millis(ago), ZoneId(0))),
+        first_in_doubt: Some((Moment::from_millis(100_000.0) - Span::millis(ago), ZoneId(0))),
     };
     // product, what became of it, time left; first action: 'f' goes at once, 'n' nacked, 'u' undeliverable
     let cases = [
@@ -391,11 +391,11 @@
     for (product, past, left, expected) in cases {
         let mut bench = Bench::new(settings(), 0);
         bench.now = 100_000.0;
-        let Event::Taken(handed) = bench.taken(product, 0, Some(3), left) else { unreachable!() };
+        let Event::Accepted(handed) = bench.taken(product, 0, Some(3), left) else { unreachable!() };
         let mut done = bench.step(vec![Event::Resumed(handed, past)]);
         // What was not out when the earlier life ended may wait for what is just back: it goes in its turn, which
         // is half of the 500 ms between two calls of one in two senders to a cold receiver of unknown rate.
-        let waits = past.submits != 1 || past.doubt.is_none();
+        let waits = past.submits != 1 || past.first_in_doubt.is_none();
         if waits && done.is_empty() {
             assert_eq!(bench.pass(245.0).len(), 0, "{product} {past:?} before its turn");
             done = bench.pass(10.0).into_iter().map(|(_, action)| action).collect();
@@ -415,11 +415,15 @@
 #[test]
 fn a_resumed_key_keeps_its_order() {
     let mut bench = Bench::new(settings(), 0);
-    let handed = |event| if let Event::Taken(handed) = event { handed } else { unreachable!() };
+    let handed = |event| if let Event::Accepted(handed) = event { handed } else { unreachable!() };
     let first = handed(bench.taken(4, 0, Some(7), 20_000.0));
     let second = handed(bench.taken(4, 0, Some(7), 20_000.0));
     let third = bench.taken(4, 0, Some(7), 20_000.0);
-    let events = vec![Event::Resumed(first, Past::default()), Event::Resumed(second, Past::default()), third];
+    let events = vec![
+        Event::Resumed(first, SubmitHistory::default()),
+        Event::Resumed(second, SubmitHistory::default()),
+        third,
+    ];
     let mut out = submits(&bench.step(events));
     for expected in 0..3 {
         // Each goes in its turn, as to a receiver that may be cold: no later than one of two senders sends two calls to one of
@@ -504,7 +508,7 @@
         while bench.now < lives + 100.0 {
             bench.now += 20.0;
             let now = bench.now;
-            ended.extend(bench.step(vec![Event::Woken]).into_iter().map(|action| (now, action)));
+            ended.extend(bench.step(vec![Event::TimerFired]).into_iter().map(|action| (now, action)));
         }
         let [(at, Action::Undeliverable { text: TextId(1) })] = ended[..] else { panic!("{ended:?}") };
         assert!(at < lives && at > lives - 50.0, "at {at} of {lives}");
@@ -535,7 +539,7 @@
 #[test]
 fn a_text_left_untried_by_an_earlier_process_is_tried() {
     let resumed = |bench: &mut Bench, lives| match bench.taken(0, 0, None, lives) {
-        Event::Taken(handed) => Event::Resumed(handed, Past::default()),
+        Event::Accepted(handed) => Event::Resumed(handed, SubmitHistory::default()),
         _ => unreachable!("as it is made"),
     };
     // Far more than may be held from now on: none is given up for room, and none gets in beside them.
@@ -569,15 +573,15 @@
 #[test]
 fn texts_behind_an_untold_end_of_an_earlier_process_wait_and_end_in_time() {
     let mut bench = Bench::new(settings(), 0);
-    let Event::Taken(first) = bench.taken(4, 0, Some(1), 0.0) else { unreachable!("as it is made") };
+    let Event::Accepted(first) = bench.taken(4, 0, Some(1), 0.0) else { unreachable!("as it is made") };
     let behind = [500.0, 20_000.0].map(|lives| bench.taken(4, 0, Some(1), lives));
-    let mut events = vec![Event::Untold(first)];
+    let mut events = vec![Event::UnreportedEnd(first)];
     events.extend(behind);
     assert!(bench.step(events).is_empty());
     let done = bench.pass(1_000.0);
     let [(at, Action::Nack { text: TextId(1), .. })] = done[..] else { panic!("{done:?}") };
     assert!(at < 500.0);
-    let sent = bench.step(vec![Event::Told(TextId(0)), Event::Told(TextId(1))]);
+    let sent = bench.step(vec![Event::EndReported(TextId(0)), Event::EndReported(TextId(1))]);
     assert_eq!(submits(&sent).len(), 1, "{sent:?}");
 }
 
@@ -1203,7 +1207,7 @@
 /// is cold.
 #[test]
 fn an_endpoint_out_by_hand_gets_nothing_until_it_is_given_back() {
-    let out = |out| Event::Maintained { endpoint: EndpointId(0), out };
+    let out = |out_of_service| Event::Maintenance { endpoint: EndpointId(0), out_of_service };
     let mut bench = Bench::new(settings(), 0);
     bench.step(vec![out(true), out(true)]);
     let list = || (0..2).map(|n| entry(n, 0, 0, Condition::Running)).collect();
@@ -1251,9 +1255,9 @@
         sent.for_each(|(text, at)| _ = bench.answer(text, at, Verdict::ConnectFailed, None));
     }
     assert!(bench.rules.avoids(EndpointId(2)), "down");
-    bench.step(vec![Event::Quiet(true)]);
+    bench.step(vec![Event::PauseSubmits(true)]);
     assert_eq!(submits(&bench.take(3, 0, 0)), [], "nothing new goes out while another takes over");
-    let learnt = bench.rules.learnt();
+    let learnt = bench.rules.learned_state();
     bench.rules = Rules::successor(settings(), 9, learnt);
     let list = vec![
         entry(0, 0, 0, Condition::Running),
@@ -1381,11 +1385,11 @@
             let (text, endpoint) = submits(&bench.take(1, 0, 1))[0];
             bench.answer(text, endpoint, Verdict::Full, Some(wait));
         }
-        let Event::Taken(handed) = bench.taken(1, 1, None, 9_000.0) else { unreachable!() };
+        let Event::Accepted(handed) = bench.taken(1, 1, None, 9_000.0) else { unreachable!() };
         let doubt = bench.at(bench.now) + Span::millis(remembered) - MEMORY;
-        let past = Past { submits: 6, doubt: Some((doubt, ZoneId(0))) };
+        let past = SubmitHistory { submits: 6, first_in_doubt: Some((doubt, ZoneId(0))) };
         let told = |action: &Action| match action {
-            Action::Nack { come_back_after, .. } => Some(*come_back_after),
+            Action::Nack { retry_after, .. } => Some(*retry_after),
             Action::Undeliverable { .. } => Some(None),
             _ => None,
         };
@@ -1411,14 +1415,14 @@
         ("a drain", |bench, _| bench.list(Scope::Partial, vec![entry(2, 1, 0, Condition::Stopping)]), true),
         (
             "an order",
-            |bench, _| bench.step(vec![Event::Maintained { endpoint: EndpointId(2), out: true }]),
+            |bench, _| bench.step(vec![Event::Maintenance { endpoint: EndpointId(2), out_of_service: true }]),
             true,
         ),
     ];
     for (what, told, withheld) in told {
         let mut bench = Bench::new(settings(), 0);
         let sent = submits(&bench.take(2, 0, 1));
-        let other = Action::Withhold { text: TextId(sent[1].0), submit: 0 };
+        let other = Action::CancelUnsent { text: TextId(sent[1].0), submit: 0 };
         assert_eq!(told(&mut bench, &sent).contains(&other), withheld, "{what}");
     }
     let mut bench = Bench::new(settings(), 0);
@@ -1427,7 +1431,7 @@
     bench.now += 100.0;
     bench.answer(sent[0].0, sent[0].1, Verdict::Reset, None);
     let again = bench.pass(2000.0).into_iter().find_map(|(_, action)| match action {
-        Action::Submit { leave_by, .. } => Some(leave_by),
+        Action::Submit { send_deadline, .. } => Some(send_deadline),
         _ => None,
     });
     let forgotten = bench.at(began) + MEMORY;
@@ -1443,14 +1447,14 @@
     bench.step(vec![Event::ListLease(Some(until))]);
     let leaves = |actions: &[Action]| {
         actions.iter().find_map(|action| match action {
-            Action::Submit { leave_by, .. } => Some(*leave_by),
+            Action::Submit { send_deadline, .. } => Some(*send_deadline),
             _ => None,
         })
     };
     assert_eq!(leaves(&bench.take(1, 0, 1)), Some(until));
     bench.now += 501.0;
     let lapsed = bench.take(1, 0, 1);
-    assert!(lapsed.contains(&Action::Withhold { text: TextId(0), submit: 0 }), "{lapsed:?}");
+    assert!(lapsed.contains(&Action::CancelUnsent { text: TextId(0), submit: 0 }), "{lapsed:?}");
     assert!(submits(&lapsed).is_empty(), "{lapsed:?}");
     let renewed = bench.step(vec![Event::ListLease(Some(bench.at(bench.now + 5_000.0)))]);
     assert_eq!(submits(&renewed).len(), 1, "{renewed:?}");
--- a/tests/window.rs
+++ b/tests/window.rs
@@ -4,8 +4,8 @@
 //! Days of restarts may set it to one second, which is less than the pauses, time-outs and stalls of an ordinary day.
 
 use indigomast::api::*;
-use indigomast::chance::Chance;
-use indigomast::rules::{Learnt, Rules};
+use indigomast::rng::Rng;
+use indigomast::rules::{LearnedState, Rules};
 use indigomast::time::{Moment, Span};
 use std::collections::BTreeMap;
 
@@ -59,7 +59,7 @@
     now: Moment,
     noted: BTreeMap<TextId, Noted>,
     life: Life,
-    chance: Chance,
+    chance: Rng,
     /// Submits of texts in doubt, and those given up for it.
     repeats: usize,
     given_up: usize,
@@ -74,7 +74,7 @@
         units: 1.0,
         condition: Condition::Running,
     };
-    Event::Listed { scope: Scope::Persisted, entries: vec![entry(0), entry(1)] }
+    Event::ListReceived { scope: Scope::Persisted, entries: vec![entry(0), entry(1)] }
 }
 
 impl World {
@@ -82,7 +82,7 @@
         let rules = Rules::new(settings.clone(), seed);
         let now = Moment::from_millis(1e9);
         let life = Life { rules, out: Vec::new(), wake: now };
-        let (window, chance) = (Span::millis(window), Chance::new(seed));
+        let (window, chance) = (Span::millis(window), Rng::new(seed));
         let noted = BTreeMap::new();
         let mut world = World { settings, window, now, noted, life, chance, repeats: 0, given_up: 0 };
         world.step(vec![list()]);
@@ -92,7 +92,7 @@
     fn step(&mut self, events: Vec<Event>) {
         for action in self.life.rules.step(self.now, events) {
             match action {
-                Action::Submit { text, endpoint, time_out, leave_by, .. } => {
+                Action::Submit { text, endpoint, time_out, send_deadline, .. } => {
                     let noted = self.noted.get_mut(&text).expect("handed in");
                     assert!(!noted.over, "{text:?} is submitted after its end");
                     if let Some((first, zone)) = noted.in_doubt.first() {
@@ -102,7 +102,7 @@
                             "{text:?}: {:?} after its doubt",
                             self.now.since(*first)
                         );
-                        assert!(leave_by + ON_THE_WAY <= forgotten, "{text:?} may leave too late");
+                        assert!(send_deadline + ON_THE_WAY <= forgotten, "{text:?} may leave too late");
                         let one_zone = matches!(
                             self.settings.products[0].repeat,
                             Repeat::Referenced { one_zone: true, .. }
@@ -132,12 +132,12 @@
         let valid_until = self.now + Span::millis(LIVES);
         self.noted.insert(TextId(at), Noted { valid_until, ..Noted::default() });
         let handed = self.handed(TextId(at));
-        self.step(vec![Event::Taken(handed)]);
+        self.step(vec![Event::Accepted(handed)]);
     }
 
-    fn handed(&self, text: TextId) -> Handed {
+    fn handed(&self, text: TextId) -> AcceptedText {
         let valid_until = self.noted[&text].valid_until;
-        Handed { text, product: ProductId(0), dest: DestId(0), key: None, valid_until }
+        AcceptedText { text, product: ProductId(0), dest: DestId(0), key: None, valid_until }
     }
 
     /// Ends the submit that has been out longest, or the one of this number.
@@ -151,14 +151,14 @@
         noted.over |= verdict == Verdict::Delivered;
         let ended = verdict == Verdict::Delivered;
         let latency = Span::millis(20);
-        let (told_wait, allowance) = (None, None);
+        let (retry_after, allowance) = (None, None);
         let outcome = Outcome {
             text,
             submit,
             endpoint,
             verdict,
             in_doubt: false,
-            told_wait,
+            retry_after,
             latency,
             ended,
             allowance,
@@ -167,12 +167,12 @@
     }
 
     /// What a process hands over that leaves in order, which it does once no call is out.
-    fn leaves(&self, hands_over: bool) -> Option<Learnt> {
-        (hands_over && self.life.out.is_empty()).then(|| self.life.rules.learnt())
+    fn leaves(&self, hands_over: bool) -> Option<LearnedState> {
+        (hands_over && self.life.out.is_empty()).then(|| self.life.rules.learned_state())
     }
 
     /// The process dies, and another one has started after `gone`; what was out may have run.
-    fn restart(&mut self, gone: Span, learnt: Option<Learnt>) {
+    fn restart(&mut self, gone: Span, learnt: Option<LearnedState>) {
         self.now += gone;
         let rules = match learnt {
             Some(learnt) => Rules::successor(self.settings.clone(), 7, learnt),
@@ -181,7 +181,8 @@
         self.life = Life { rules, out: Vec::new(), wake: self.now };
         let mut events = vec![list()];
         for (text, noted) in self.noted.iter().filter(|(_, noted)| !noted.over) {
-            let past = Past { submits: noted.submits, doubt: noted.in_doubt.first().copied() };
+            let past =
+                SubmitHistory { submits: noted.submits, first_in_doubt: noted.in_doubt.first().copied() };
             events.push(Event::Resumed(self.handed(*text), past));
         }
         self.step(events);
@@ -196,7 +197,7 @@
                 self.answer(at, Verdict::TimeOut);
             }
             if self.life.wake <= self.now {
-                self.step(vec![Event::Woken]);
+                self.step(vec![Event::TimerFired]);
             }
         }
     }
@@ -256,14 +257,14 @@
         let mut world = World::new(settings(window, seed % 5 == 0, several), window, seed);
         let mut texts = 0;
         for _ in 0..400 {
-            match (world.chance.share() * 100.0) as u32 {
+            match (world.chance.next_f64() * 100.0) as u32 {
                 0..20 if texts < TEXTS => {
                     world.hand_in(texts);
                     texts += 1;
                 }
                 0..55 if !world.life.out.is_empty() => {
-                    let at = (world.chance.share() * world.life.out.len() as f64) as usize;
-                    let verdict = match (world.chance.share() * 10.0) as u32 {
+                    let at = (world.chance.next_f64() * world.life.out.len() as f64) as usize;
+                    let verdict = match (world.chance.next_f64() * 10.0) as u32 {
                         0 => Verdict::Delivered,
                         1..4 => Verdict::Reset,
                         4..6 => Verdict::Error,
@@ -274,18 +275,18 @@
                     world.answer(at, verdict);
                 }
                 55..60 => {
-                    let hands_over = world.chance.share() < 0.3;
+                    let hands_over = world.chance.next_f64() < 0.3;
                     let learnt = world.leaves(hands_over);
-                    let gone = Span::from_millis(world.chance.share() * 900.0);
+                    let gone = Span::from_millis(world.chance.next_f64() * 900.0);
                     world.restart(gone, learnt);
                     restarts += 1;
                 }
                 60..64 => {
-                    let stall = (world.chance.share() * 1_500.0) as i64 + 1;
+                    let stall = (world.chance.next_f64() * 1_500.0) as i64 + 1;
                     world.pass(stall, true);
                 }
                 _ => {
-                    let spell = (world.chance.share() * 60.0) as i64 + 1;
+                    let spell = (world.chance.next_f64() * 60.0) as i64 + 1;
                     world.pass(spell, false);
                 }
             }
