--- a/crates/sender/src/decider.rs
+++ b/crates/sender/src/decider.rs
@@ -1,4 +1,5 @@
-//! The actor that owns the decisions: it hears everything, writes it to the log, asks once and carries out.
+//! The actor that owns the decision logic. For each batch of messages it records what happened in the journal, runs one
+//! step of the rules, writes the decisions to the journal, and only then carries them out.
 
 use crate::call::{Call, Part};
 use crate::clock::{Clock, duration, span};
@@ -34,67 +35,75 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A text that a client hands in; the client is told once `reply` has an answer.
+/// A text that a client hands in. The client is answered once `reply` has an [`Admission`].
 pub struct HandIn {
     pub info: TextInfo,
     pub body: Arc<[u8]>,
-    /// The connection had handed in texts before this one.
+    /// The client handed in texts on this connection before.
     pub proven: bool,
-    /// When its last byte was read.
+    /// When the last byte of the request was read.
     pub came: Instant,
     pub reply: Sender<Admission>,
 }
 
+/// The answer to a text that was handed in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is in the log. Whoever asked says whether the client has heard of it.
+    /// The text is in the journal. The receiver of this answer reports whether the client got it:
+    /// [`Message::AnswerDelivered`] or [`Message::AnswerLost`].
     Accepted(TextId),
-    /// Handed in before under this id, and taken on then.
+    /// The same text was accepted before under this id.
     AlreadyAccepted,
-    /// Another text was handed in under this id, and that one was taken on.
+    /// Another text was accepted under this id.
     IdConflict,
+    /// There is no room for the text, or the sender is stopping.
     Full,
-    /// This sender could not answer for it just now: come back after so long.
+    /// The sender is overloaded; the client may retry after this time.
     RetryAfter(Span),
-    /// It is not taken on, but a part of it may be in the journal, and then a next life may send it: no promise is made.
+    /// The text was not accepted, but a part of it may be in the journal, and a restarted sender may then submit it.
     Indeterminate,
-    /// No list has ever named its destination.
+    /// No endpoint list has named the destination so far.
     UnknownDestination,
 }
 
+/// What other actors send to the decider.
 pub enum Message {
     HandIn(HandIn),
-    /// The client has its answer, or has gone before.
+    /// The client received [`Admission::Accepted`] for this text.
     AnswerDelivered(TextId),
+    /// The client disconnected before it received that answer; the text is withdrawn.
     AnswerLost(TextId),
-    /// The client was sent away before the decider answered here. Not by its id: another may have come by it.
+    /// The client was refused before the decider answered on this channel. The channel identifies the request, since
+    /// another text may have come under the same id.
     RequestAbandoned(Receiver<Admission>),
     Outcome(Outcome),
-    /// None where asking failed.
+    /// An answer of the discovery; `None` if the request failed.
     Listed(Option<Listing>),
-    /// Endpoints that drain or are gone, by an answer that was not whole: nothing else is known of the list.
+    /// Endpoints that drain or are gone, from an incomplete answer that says nothing else about the list.
     Drained(Vec<Listed>),
-    /// Until when the list in force may be acted on, as of when it is whole, and whether a question has failed since.
+    /// `until` is when the lease of the list in force ends, `as_of` the time for which the list is complete, and `failed`
+    /// whether a request has failed since.
     ListLease {
         until: Option<Moment>,
         as_of: Moment,
         failed: bool,
     },
+    /// The ends of these texts were reported and acknowledged.
     Reported(Vec<TextId>),
-    /// An operator's.
+    /// An operator's order to take an endpoint out of service or give it back.
     Order(Order),
     ChangeSettings(Box<SettingsChange>),
     Stop,
 }
 
-/// Settings to be put in force, and who is told whether they are.
+/// New settings to put in force; `reply` gets the result.
 pub struct SettingsChange {
     pub site: Site,
     pub reply: Sender<Result<(), String>>,
 }
 
-/// Brings the terms that the journal knows and those of the settings together, before anything is taken on under them.
-/// Terms that nothing at hand has any more are forgotten.
+/// Merges the product settings recorded in the journal with the current ones, before any text is accepted under them.
+/// Product settings that are neither current nor used by an unfinished text are dropped from the journal.
 pub fn reconcile_products(wal: &mut Wal, site: &mut Site, figures: &Figures) -> ProductTable {
     let known = |wal: &Wal| {
         let rows = wal.kept().filter_map(|kept| match kept {
@@ -114,29 +123,31 @@
     let products = table.add_from(&site.info);
     for (reference, terms) in table.rows() {
         if !wal.keep(Kept::Terms { reference: reference.clone(), terms: terms.clone() }) {
-            log!("the journal has no room for what {reference} stands for");
+            log!("the journal has no room for the product settings of {reference}");
         }
     }
-    name_products(site, &table, &products, figures);
+    set_site_products(site, &table, &products, figures);
     table
 }
 
-fn name_products(site: &mut Site, table: &ProductTable, products: &[ProductId], figures: &Figures) {
+fn set_site_products(site: &mut Site, table: &ProductTable, products: &[ProductId], figures: &Figures) {
     let rows = || products.iter().map(|product| table.row(*product));
     site.references = rows().map(|(reference, _)| reference.clone()).collect();
     site.ends = rows().map(|(_, terms)| figures.product(&terms.name)).collect();
 }
 
-/// Texts of a key go on in the order in which they were handed in, also while some still wait for their
-/// client to hear, or for the report of an earlier life to be answered.
-enum Gate {
-    Shut,
-    Open(Event),
+/// The state of a text in the queue of its ordering key. Texts of one key are passed to the rules in the order in which
+/// they were handed in, even while an earlier one waits for its client to receive the answer, or for the
+/// acknowledgement of a report left by the previous run.
+enum KeyQueueState {
+    Blocked,
+    Ready(Event),
 }
 
+/// Everything the decider is started with.
 pub struct Decider {
     pub clock: Clock,
-    /// Where what is told of the list is kept for the next life; none where no platform tells it.
+    /// Stores the endpoint list for the next start; `None` if no platform supplies it.
     pub list_keeper: Option<ListKeeper>,
     pub limits: Arc<Limits>,
     pub counters: Arc<Counters>,
@@ -149,13 +160,13 @@
     pub wal: Wal,
     pub seed: u64,
     pub known: Listing,
-    /// What the process before left, if it left in order.
+    /// The state of the previous process, if it handed over in order.
     pub handover_state: Option<HandoverState>,
-    /// Where another process may take over.
+    /// Set if another process may take over.
     pub handover: Option<Handover>,
 }
 
-/// What it takes to let another process take over.
+/// What the decider needs to hand over to another process.
 pub struct Handover {
     pub folder: PathBuf,
     pub watch: SuccessorWatch,
@@ -163,7 +174,7 @@
     pub intake: Arc<Intake>,
 }
 
-struct Desk {
+struct RunningDecider {
     clock: Clock,
     list_keeper: Option<ListKeeper>,
     limits: Arc<Limits>,
@@ -172,7 +183,7 @@
     site: Arc<Site>,
     in_force: Arc<InForce>,
     table: ProductTable,
-    /// By product, as the decisions number them.
+    /// End counters by [`ProductId`].
     ends: Vec<Arc<Ends>>,
     trunk: Arc<Trunk>,
     list: Sender<list::Ask>,
@@ -184,40 +195,41 @@
     ids: RequestIds,
     dests: Names<u64>,
     keys: OrderingKeys,
-    gates: BTreeMap<String, VecDeque<(TextId, Gate)>>,
-    /// Submits without an outcome.
-    out: BTreeMap<(TextId, usize), EndpointId>,
-    /// Texts whose client has no answer yet, and who else asked under the same id meanwhile.
-    unheard: BTreeMap<TextId, Vec<Sender<Admission>>>,
-    replies: Vec<(TextId, Sender<Admission>)>,
-    notes: Vec<Notice>,
-    events: Vec<Event>,
-    wake: Option<Moment>,
+    key_queues: BTreeMap<String, VecDeque<(TextId, KeyQueueState)>>,
+    /// Submits without an outcome, with the endpoint of each.
+    in_flight: BTreeMap<(TextId, usize), EndpointId>,
+    /// Texts whose client has no answer yet, with the repeated requests under the same id that wait for it.
+    unanswered: BTreeMap<TextId, Vec<Sender<Admission>>>,
+    pending_replies: Vec<(TextId, Sender<Admission>)>,
+    pending_notices: Vec<Notice>,
+    pending_events: Vec<Event>,
+    wake_at: Option<Moment>,
     overload: OverloadDetector,
-    stopping: Option<Instant>,
-    /// Orders in force as soon as they are written.
-    orders: Vec<Order>,
-    /// When the avoided endpoints were last counted.
-    seen: Option<Instant>,
+    stopping_since: Option<Instant>,
+    /// Orders that are answered once the journal is flushed.
+    pending_orders: Vec<Order>,
+    /// When the listed and the avoided endpoints were last counted.
+    endpoints_counted_at: Option<Instant>,
     handover: Option<Handover>,
-    /// Of the list in force; none where discovery may be another one since.
+    /// Revision of the list in force; `None` after a change of settings, which may have changed the discovery.
     revision: Option<u64>,
-    /// Why no text is submitted just now.
-    holds: Holds,
+    /// Why submits are paused at present, if they are.
+    pause_reasons: PauseReasons,
 }
 
-/// What keeps texts from being submitted for a while.
+/// Reasons to pause submits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Holds {
+struct PauseReasons {
     /// Another process is about to take over.
     handover: bool,
-    /// The journal can't be written: no call may leave that it does not know of, and one that never left is no try.
+    /// The journal can't be written. A call must not be sent before it is recorded, and a submit that was never sent must
+    /// not count as an attempt.
     journal: bool,
 }
 
 impl Decider {
-    /// Reads back what an earlier life left, then works until told to stop and done with it.
-    pub fn run(self, words: Receiver<Message>) {
+    /// Resumes the texts left by the previous run, then handles messages until the sender has stopped or handed over.
+    pub fn run(self, messages: Receiver<Message>) {
         let site = self.site.get();
         let settings = Settings { products: self.table.products(), ..site.info.decode() };
         let ends = self.table.rows().iter().map(|(_, terms)| self.figures.product(&terms.name)).collect();
@@ -225,7 +237,7 @@
         let texts_per_call = settings.kinds.iter().map(|kind| kind.texts_per_call).collect();
         let overload = self.limits.overload;
         let (seed, mut known, mut revision) = (self.seed, self.known.members, Some(self.known.revision));
-        let (rules, places, ids, dests, keys) = match self.handover_state {
+        let (rules, endpoints, ids, dests, keys) = match self.handover_state {
             Some(handover_state) => {
                 let listed = |one: &&(EndpointId, Listed)| one.1.condition != Condition::Deleted;
                 known = handover_state.endpoints.iter().filter(listed).map(|(_, one)| one.clone()).collect();
@@ -251,7 +263,7 @@
                 )
             }
         };
-        let mut desk = Desk {
+        let mut decider = RunningDecider {
             clock: self.clock,
             list_keeper: self.list_keeper,
             limits: self.limits,
@@ -267,100 +279,101 @@
             wal: self.wal,
             rules,
             texts_per_call,
-            endpoints: places,
+            endpoints,
             ids,
             dests,
             keys,
-            gates: BTreeMap::new(),
-            out: BTreeMap::new(),
-            unheard: BTreeMap::new(),
-            replies: Vec::new(),
-            notes: Vec::new(),
-            events: Vec::new(),
-            wake: None,
+            key_queues: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
+            unanswered: BTreeMap::new(),
+            pending_replies: Vec::new(),
+            pending_notices: Vec::new(),
+            pending_events: Vec::new(),
+            wake_at: None,
             overload: OverloadDetector::new(overload),
-            stopping: None,
-            orders: Vec::new(),
-            seen: None,
+            stopping_since: None,
+            pending_orders: Vec::new(),
+            endpoints_counted_at: None,
             handover: self.handover,
             revision,
-            holds: Holds::default(),
+            pause_reasons: PauseReasons::default(),
         };
-        desk.listed(Scope::Persisted, known);
-        desk.resume();
-        desk.decide();
-        let left = desk.work(&words);
-        desk.endpoints.ids().into_iter().for_each(|at| desk.endpoints.retire(at));
-        if left {
-            // The lock goes with the process, not before: the next owner may submit what is still out here, and that is
-            // over only once this process's connections are.
-            std::mem::forget(desk.wal);
+        decider.apply_list(Scope::Persisted, known);
+        decider.resume_texts();
+        decider.decide();
+        let handed_over = decider.run_loop(&messages);
+        decider.endpoints.ids().into_iter().for_each(|at| decider.endpoints.retire(at));
+        if handed_over {
+            // The journal's lock is released only when the process ends. The next owner may submit again what is in flight
+            // here, and that ends only with this process's connections.
+            std::mem::forget(decider.wal);
         }
     }
 }
 
-impl Desk {
-    /// Whether it left its place to another process.
-    fn work(&mut self, words: &Receiver<Message>) -> bool {
+impl RunningDecider {
+    /// Handles messages until the end; returns whether another process has taken over.
+    fn run_loop(&mut self, messages: &Receiver<Message>) -> bool {
         loop {
-            let wait = self.wake.map_or(Span::ZERO, |at| at.since(self.clock.now()));
-            let mut heard: Vec<Message> = words.recv_timeout(duration(wait)).into_iter().collect();
-            let late = self.wake.map_or(Span::ZERO, |at| self.clock.now().since(at));
+            let wait = self.wake_at.map_or(Span::ZERO, |at| at.since(self.clock.now()));
+            let mut batch: Vec<Message> = messages.recv_timeout(duration(wait)).into_iter().collect();
+            let late = self.wake_at.map_or(Span::ZERO, |at| self.clock.now().since(at));
             if late > span(self.limits.stall) {
                 thread::sleep(self.limits.stall_pause);
             }
             if self.overload.late(self.clock.now(), late) {
                 self.counters.stalls.add(1);
             }
-            heard.extend(words.try_iter().take(self.limits.mailbox));
-            // An answer that has come is worth more than a time that is up.
-            let late = |word: &Message| matches!(word, Message::Outcome(o) if o.verdict == Verdict::TimeOut);
-            heard.sort_by_key(|word| match word {
-                // Before new texts: those taken on come first, and what ends there makes room.
-                Message::Outcome(_) if !late(word) => 0,
+            batch.extend(messages.try_iter().take(self.limits.mailbox));
+            // Answers that have arrived are handled before timeouts.
+            let is_timeout =
+                |message: &Message| matches!(message, Message::Outcome(o) if o.verdict == Verdict::TimeOut);
+            batch.sort_by_key(|message| match message {
+                // Outcomes come before new texts: accepted texts have precedence, and finished ones free room.
+                Message::Outcome(_) if !is_timeout(message) => 0,
                 Message::Reported(_) => 0,
-                _ if late(word) => 2,
+                _ if is_timeout(message) => 2,
                 _ => 1,
             });
-            heard.into_iter().for_each(|word| self.hear(word));
+            batch.into_iter().for_each(|message| self.handle(message));
             self.keys.remove_expired(self.limits.key_rest);
             self.endpoints.remove_expired(self.limits.place_rest);
             self.ids.remove_expired(self.limits.id_rest, self.limits.texts);
             let now = self.clock.now();
-            if self.wake.is_none_or(|at| at <= now) {
-                self.events.push(Event::TimerFired);
+            if self.wake_at.is_none_or(|at| at <= now) {
+                self.pending_events.push(Event::TimerFired);
             }
-            let since = self.stopping.map(|since| since.elapsed());
+            let since = self.stopping_since.map(|since| since.elapsed());
             if since.is_some_and(|since| since >= self.limits.stop_submits) {
-                // No new submits: what is still out gets its outcome into the log.
-                self.events.clear();
-                self.wake = Some(now + span(self.limits.stop_beat));
+                // No new submits are decided; outcomes of those in flight are still recorded in the journal.
+                self.pending_events.clear();
+                self.wake_at = Some(now + span(self.limits.stop_beat));
                 self.flush();
             } else {
                 self.decide();
             }
-            self.count();
-            if self.hands_over(words) {
+            self.update_metrics();
+            if self.step_handover(messages) {
                 return true;
             }
-            if since.is_some_and(|since| self.done(since)) {
+            if since.is_some_and(|since| self.can_exit(since)) {
                 self.flush();
                 return false;
             }
         }
     }
 
-    /// Takes the next step towards another process's taking over; whether that was the last one.
-    fn hands_over(&mut self, words: &Receiver<Message>) -> bool {
+    /// Takes the next step of a handover to another process; returns whether the handover is complete.
+    fn step_handover(&mut self, messages: &Receiver<Message>) -> bool {
         let now = self.clock.now();
         let Some(Handover { watch, machine, intake, folder }) = &mut self.handover else { return false };
         let asked = watch.successor_waits();
         let heard = machine.is_leaving() && intake.all_heard();
-        let mut step = machine.step(now, Seen { asked, out: !self.out.is_empty(), heard });
+        let mut step = machine.step(now, Seen { asked, out: !self.in_flight.is_empty(), heard });
         if step == Some(Step::Leave) {
             let folder = folder.clone();
-            words.try_iter().for_each(|word| self.hear(word));
-            // What came in just now is decided on too, so that no wait told at the last moment is lost.
+            messages.try_iter().for_each(|message| self.handle(message));
+            // Messages that have just come in are decided on too, so that a retry time received last is not lost.
             self.decide();
             let written = if self.flush() {
                 self.handover_state().write(&folder)
@@ -369,7 +382,7 @@
             };
             let Err(e) = written else {
                 log!("another process takes over; {} texts are owed", self.wal.owed().len());
-                // The end that follows is asked for, as one by a signal is.
+                // The exit that follows is intended, like one after a signal.
                 self.handover.iter().for_each(|own| own.intake.stopping.store(true, Ordering::Relaxed));
                 return true;
             };
@@ -381,28 +394,28 @@
             Some(Step::Hold) => {
                 log!("another process waits to take over");
                 intake.leaves(true);
-                self.hold(Holds { handover: true, ..self.holds });
+                self.set_pause_reasons(PauseReasons { handover: true, ..self.pause_reasons });
             }
             Some(Step::StopAccepting) => intake.stop_accepting(true),
             Some(Step::Resume) => {
                 log!("no other process takes over now");
                 intake.stop_accepting(false);
                 intake.leaves(false);
-                self.hold(Holds { handover: false, ..self.holds });
+                self.set_pause_reasons(PauseReasons { handover: false, ..self.pause_reasons });
             }
             Some(Step::Leave) | None => {}
         }
         false
     }
 
-    fn hold(&mut self, holds: Holds) {
-        if holds != self.holds {
-            self.holds = holds;
-            self.events.push(Event::PauseSubmits(holds.handover || holds.journal));
+    fn set_pause_reasons(&mut self, pause_reasons: PauseReasons) {
+        if pause_reasons != self.pause_reasons {
+            self.pause_reasons = pause_reasons;
+            self.pending_events.push(Event::PauseSubmits(pause_reasons.handover || pause_reasons.journal));
         }
     }
 
-    /// All that the next owner has to know beside the journal.
+    /// What the next owner needs beside the journal.
     fn handover_state(&self) -> HandoverState {
         let (endpoints, next_endpoint) = self.endpoints.snapshot();
         let (keys, next_key) = self.keys.snapshot();
@@ -421,53 +434,53 @@
         }
     }
 
-    /// Says how the sender stands, for whoever asks for it.
-    fn count(&mut self) {
+    /// Updates the metrics of held texts and of listed and avoided endpoints.
+    fn update_metrics(&mut self) {
         self.figures.holds(self.wal.owed().len());
-        if self.seen.is_none_or(|seen| seen.elapsed() >= self.limits.sight_beat) {
-            self.seen = Some(Instant::now());
+        if self.endpoints_counted_at.is_none_or(|counted_at| counted_at.elapsed() >= self.limits.sight_beat) {
+            self.endpoints_counted_at = Some(Instant::now());
             let avoided = self.endpoints.listed().filter(|at| self.rules.avoids(*at)).count();
             self.figures.sees(self.endpoints.listed().count(), avoided);
         }
     }
 
-    fn done(&self, since: Duration) -> bool {
-        let idle = self.out.is_empty() && self.unheard.is_empty();
+    fn can_exit(&self, since: Duration) -> bool {
+        let idle = self.in_flight.is_empty() && self.unanswered.is_empty();
         let over = if since < self.limits.stop_submits { idle && self.wal.owed().is_empty() } else { idle };
         since >= self.limits.stop_most || (since >= self.limits.stop_least && over)
     }
 
-    fn hear(&mut self, word: Message) {
-        match word {
+    fn handle(&mut self, message: Message) {
+        match message {
             Message::HandIn(text) => self.hand_in(text),
             Message::AnswerDelivered(text) => {
-                if !self.open(text, Admission::AlreadyAccepted) {
+                if !self.mark_answered(text, Admission::AlreadyAccepted) {
                     return;
                 }
                 let Some(owed) = self.wal.owed().get(&text.0) else { return };
                 self.counters.taken.add(1);
                 let info = owed.info.clone();
-                let handed = self.handed(text, &info);
+                let handed = self.accepted_text(text, &info);
                 let left = handed.valid_until.since(self.clock.now()).as_millis();
                 log_account!(text = text.0, dest = info.dest, left; "taken");
-                self.pass_gate(text, info.key.as_deref(), Some(Event::Accepted(handed)));
+                self.pass_in_key_order(text, info.key.as_deref(), Some(Event::Accepted(handed)));
             }
             Message::RequestAbandoned(answer) => {
-                // One that is not answered yet is met by the answer that finds nobody.
+                // If the decider has not answered yet, its answer will find the channel closed.
                 if let Ok(Admission::Accepted(text)) = answer.try_recv() {
-                    self.hear(Message::AnswerLost(text));
+                    self.handle(Message::AnswerLost(text));
                 }
             }
             Message::AnswerLost(text) => {
-                if !self.open(text, Admission::Full) {
+                if !self.mark_answered(text, Admission::Full) {
                     return;
                 }
                 let Some(owed) = self.wal.owed().get(&text.0) else { return };
                 self.counters.withdrawn.add(1);
                 let (id, key) = (owed.info.id.clone(), owed.info.key.clone());
-                self.over(text);
+                self.finish(text);
                 self.ids.remove(&id);
-                self.pass_gate(text, key.as_deref(), None);
+                self.pass_in_key_order(text, key.as_deref(), None);
             }
             Message::Outcome(outcome) => {
                 self.submit_ended(outcome.text, outcome.submit);
@@ -484,31 +497,31 @@
                     self.wal.never_ran(outcome.text.0, outcome.submit);
                 }
                 if outcome.ended || outcome.verdict == Verdict::Delivered {
-                    // One given up meanwhile still owes its report, which then does no harm.
+                    // A text that was given up meanwhile keeps its pending report, which is harmless.
                     if let Some(owed) = self.wal.owed().get(&outcome.text.0)
                         && owed.report.is_none()
                     {
                         if outcome.verdict == Verdict::Delivered {
                             let took = self.clock.now().as_millis() - owed.taken_ms();
-                            self.ends_of(&owed.info.product).delivered(took);
+                            self.end_counters(&owed.info.product).delivered(took);
                         }
-                        self.over(outcome.text);
+                        self.finish(outcome.text);
                     }
                 }
-                self.events.push(Event::Outcome(outcome));
+                self.pending_events.push(Event::Outcome(outcome));
             }
             Message::Listed(Some(listing)) => {
                 self.revision = Some(listing.revision);
                 self.list_keeper.iter_mut().for_each(|keeper| keeper.told(listing.revision));
                 let scope = if listing.complete { Scope::Complete } else { Scope::Partial };
-                self.listed(scope, listing.members);
+                self.apply_list(scope, listing.members);
             }
             Message::Drained(members) => {
-                self.listed(Scope::Partial, members);
+                self.apply_list(Scope::Partial, members);
                 self.list_keeper.iter_mut().for_each(|keeper| keeper.keep(self.endpoints.serving()));
             }
             Message::ListLease { until, as_of, failed } => {
-                self.events.push(Event::ListLease(until));
+                self.pending_events.push(Event::ListLease(until));
                 if let Some(keeper) = &mut self.list_keeper
                     && keeper.confirmed(as_of, failed)
                 {
@@ -516,46 +529,46 @@
                 }
             }
             Message::Listed(None) => {
-                self.events.push(Event::ListReceived { scope: Scope::Error, entries: Vec::new() })
+                self.pending_events.push(Event::ListReceived { scope: Scope::Error, entries: Vec::new() })
             }
             Message::Reported(texts) => {
                 for text in texts {
                     self.counters.reported.add(1);
                     let Some(owed) = self.wal.owed().get(&text.0) else { continue };
                     let (id, key) = (owed.info.id.clone(), owed.info.key.clone());
-                    let ends = self.ends_of(&owed.info.product);
+                    let ends = self.end_counters(&owed.info.product);
                     match owed.report {
                         Some(Report::Undeliverable) => ends.errored.add(1),
                         _ => ends.deferred.add(1),
                     }
                     self.wal.reported(text.0);
                     self.ids.mark_finished(&id);
-                    self.pass_gate(text, key.as_deref(), None);
+                    self.pass_in_key_order(text, key.as_deref(), None);
                     if let Some(key) = key {
                         self.keys.release(&key);
                     }
-                    self.events.push(Event::EndReported(text));
+                    self.pending_events.push(Event::EndReported(text));
                 }
             }
-            Message::Order(order) => self.order(order),
-            Message::ChangeSettings(change) => self.change(*change),
-            Message::Stop => _ = self.stopping.get_or_insert_with(Instant::now),
+            Message::Order(order) => self.apply_order(order),
+            Message::ChangeSettings(change) => self.apply_settings(*change),
+            Message::Stop => _ = self.stopping_since.get_or_insert_with(Instant::now),
         }
     }
 
-    /// How the ends of texts are counted that carry this as their product.
-    fn ends_of(&self, reference: &str) -> Arc<Ends> {
+    /// The end counters for texts with this product reference.
+    fn end_counters(&self, reference: &str) -> Arc<Ends> {
         match self.table.find(reference) {
             Some(product) => Arc::clone(&self.ends[product.0]),
             None => self.figures.product(product_table::product_name(reference)),
         }
     }
 
-    /// Takes an endpoint out or gives it back. It is in force from now on: nothing new goes there in the step that writes
-    /// the order down. The answer follows the journal.
-    fn order(&mut self, order: Order) {
+    /// Takes an endpoint out of service or gives it back. The order applies at once: the step that writes it to the journal
+    /// sends nothing new there. It is answered once it is in the journal.
+    fn apply_order(&mut self, order: Order) {
         let known = self.endpoints.find(&order.endpoint);
-        let is_out = self.out_by_hand().any(|name| name == order.endpoint);
+        let is_out = self.out_of_service().any(|name| name == order.endpoint);
         if known.is_none() && !is_out {
             _ = order.reply.try_send(Err(Refusal::UnknownEndpoint));
             return;
@@ -569,39 +582,43 @@
         if !order.out {
             self.wal.drop_kept(|other| *other == kept);
         }
-        self.maintain(&order.endpoint, order.out);
+        self.set_maintenance(&order.endpoint, order.out);
         if is_out == order.out {
-            // It was so before, and stays so whatever becomes of this answer.
+            // The order changes nothing, so it needs no journal write and no undo if the answer is lost.
             _ = order.reply.try_send(Ok(()));
         } else {
-            self.orders.push(order);
+            self.pending_orders.push(order);
         }
     }
 
-    fn out_by_hand(&self) -> impl Iterator<Item = &str> {
+    fn out_of_service(&self) -> impl Iterator<Item = &str> {
         self.wal.kept().filter_map(|kept| match kept {
             Kept::Out { endpoint } => Some(endpoint.as_str()),
             Kept::Terms { .. } => None,
         })
     }
 
-    /// Tells the decisions; connections of one that was taken out end as they come to rest.
-    fn maintain(&mut self, name: &str, out_of_service: bool) {
+    /// Passes an endpoint's maintenance state to the rules. Connections of one taken out of service close once idle.
+    fn set_maintenance(&mut self, name: &str, out_of_service: bool) {
         let Some(endpoint) = self.endpoints.find(name) else { return };
         if out_of_service {
             self.endpoints.retire(endpoint);
         }
-        self.events.push(Event::Maintenance { endpoint, out_of_service });
+        self.pending_events.push(Event::Maintenance { endpoint, out_of_service });
     }
 
-    /// Answers the orders that are written now, and takes back those that could not be, or whose caller was told no
-    /// meanwhile.
+    /// Confirms the pending orders if they were `written`. Undoes those that were not, and those whose caller was already
+    /// answered with a refusal.
     fn answer_orders(&mut self, written: bool) {
-        for order in std::mem::take(&mut self.orders) {
+        for order in std::mem::take(&mut self.pending_orders) {
             let answer = if written { Ok(()) } else { Err(Refusal::NotNow) };
             let heard = order.reply.try_send(answer).is_ok();
             if written && heard {
-                log!("{} is {} by hand", order.endpoint, if order.out { "taken out" } else { "given back" });
+                log!(
+                    "{} is {} by an operator",
+                    order.endpoint,
+                    if order.out { "taken out of service" } else { "given back" }
+                );
                 continue;
             }
             let kept = Kept::Out { endpoint: order.endpoint.clone() };
@@ -610,12 +627,12 @@
                 true => self.wal.forget_kept(&kept),
                 false => _ = self.wal.keep(kept),
             }
-            self.maintain(&order.endpoint, !order.out);
+            self.set_maintenance(&order.endpoint, !order.out);
         }
     }
 
-    /// Puts other settings in force, or none of them.
-    fn change(&mut self, change: SettingsChange) {
+    /// Puts new settings in force, or rejects them as a whole.
+    fn apply_settings(&mut self, change: SettingsChange) {
         let SettingsChange { mut site, reply } = change;
         let before = self.table.len();
         let products = self.table.add_from(&site.info);
@@ -627,51 +644,54 @@
         if !kept || !self.flush() {
             rows.iter().for_each(|row| self.wal.forget_kept(row));
             self.table.truncate(before);
-            _ = reply.try_send(Err("the journal has no room for other terms".into()));
+            _ = reply.try_send(Err("the journal has no room for the new product settings".into()));
             return;
         }
-        name_products(&mut site, &self.table, &products, &self.figures);
+        set_site_products(&mut site, &self.table, &products, &self.figures);
         let names = self.table.rows()[before..].iter().map(|(_, terms)| self.figures.product(&terms.name));
         self.ends.extend(names);
         let settings = Settings { products: self.table.products(), ..site.info.decode() };
         self.texts_per_call = settings.kinds.iter().map(|kind| kind.texts_per_call).collect();
         let longest = site.references.iter().chain(&site.info.localities).map(String::len).max().unwrap_or(0);
         self.wal.reserve_for(wal::reserve(site.info.ceilings.max_attempts, longest));
-        self.events.push(Event::Settings(settings));
+        self.pending_events.push(Event::Settings(settings));
         self.revision = None;
         self.site = Arc::new(site);
         self.in_force.put(Arc::clone(&self.site));
         _ = reply.try_send(Ok(()));
     }
 
-    /// Whether this text's client was still without an answer; others who asked under its id have theirs now.
-    fn open(&mut self, text: TextId, others: Admission) -> bool {
-        let open = self.unheard.remove(&text);
-        open.iter().flatten().for_each(|reply| _ = reply.try_send(others));
-        open.is_some()
+    /// Marks a text as answered and gives `others` to the repeated requests under its id. Returns whether its client was
+    /// still without an answer.
+    fn mark_answered(&mut self, text: TextId, others: Admission) -> bool {
+        let waiting = self.unanswered.remove(&text);
+        waiting.iter().flatten().for_each(|reply| _ = reply.try_send(others));
+        waiting.is_some()
     }
 
     fn hand_in(&mut self, text: HandIn) {
         let HandIn { mut info, body, proven, came, reply } = text;
-        let late = self.stopping.is_some_and(|since| since.elapsed() >= self.limits.stop_submits);
+        let late = self.stopping_since.is_some_and(|since| since.elapsed() >= self.limits.stop_submits);
         let full = self.wal.held() >= self.site.info.ceilings.most_held || late;
         let form = info.form(&body);
         if let Some(known) = self.ids.get(&info.id) {
             if known.checksum != form {
                 self.counters.conflicts.add(1);
-                // Where this sender was slow, a stranger's text may have come in under the id of a client's own before
-                // that one was read: passed on, it would be void, and so would be all that travels with it. While
-                // nobody has been promised anything, the one whose connection has proven itself is taken, or neither.
-                let unpromised = known.text.filter(|text| self.replies.iter().any(|(id, _)| id == text));
-                let undone = unpromised.is_some_and(|earlier| !known.proven && self.undo(earlier));
-                if !undone || !proven {
+                // If this sender was slow, a forged text under a client's id may have been read before the client's own.
+                // Passed on, it would be invalid, and so would be all texts in the same call. While neither has been
+                // answered, the text from a proven connection is accepted; without one, neither is.
+                let unpromised =
+                    known.text.filter(|text| self.pending_replies.iter().any(|(id, _)| id == text));
+                let withdrawn =
+                    unpromised.is_some_and(|earlier| !known.proven && self.withdraw_unanswered(earlier));
+                if !withdrawn || !proven {
                     _ = reply.try_send(Admission::IdConflict);
                     return;
                 }
             } else {
-                // Until its client has heard, the earlier one may yet be withdrawn: nothing is promised for it. Nor
-                // is this one sent away, as it would come again once the earlier is over and pass for a new one.
-                match known.text.and_then(|known| self.unheard.get_mut(&known)) {
+                // Until its client has the answer, the earlier request may be withdrawn, so this one can't be confirmed.
+                // It is not refused either: a retry after the end of the earlier one would be taken for a new text.
+                match known.text.and_then(|known| self.unanswered.get_mut(&known)) {
                     Some(others) if others.len() < self.limits.clients => others.push(reply),
                     Some(_) => _ = reply.try_send(Admission::Full),
                     None => _ = reply.try_send(Admission::AlreadyAccepted),
@@ -684,7 +704,8 @@
             return;
         }
         let now = self.clock.now();
-        // What lay unread while this sender stood still was sent up to a client's patience earlier than it came.
+        // A request that lay unread while this sender stalled was sent earlier than it was read, by up to the time that
+        // clients wait for an answer.
         info.until_ms -= self.overload.unread(now, span(self.limits.admission)).as_millis();
         let left = Moment::from_millis(info.until_ms).since(now);
         if let Err(again) = self.overload.admit(now, left, span(came.elapsed())) {
@@ -706,63 +727,68 @@
             return;
         };
         self.ids.insert(id, text, form, proven);
-        self.unheard.insert(text, Vec::new());
+        self.unanswered.insert(text, Vec::new());
         if let Some(key) = key {
             self.keys.acquire(&key);
-            self.gates.entry(key).or_default().push_back((text, Gate::Shut));
+            self.key_queues.entry(key).or_default().push_back((text, KeyQueueState::Blocked));
         }
-        self.replies.push((text, reply));
+        self.pending_replies.push((text, reply));
     }
 
-    /// Takes back a text whose client has not been answered yet, as if it had not come; whether that could be done.
-    fn undo(&mut self, text: TextId) -> bool {
+    /// Withdraws a text whose client has not been answered yet, and answers it with a conflict. Returns whether the text
+    /// was still there.
+    fn withdraw_unanswered(&mut self, text: TextId) -> bool {
         let Some(owed) = self.wal.owed().get(&text.0) else { return false };
         let (id, key) = (owed.info.id.clone(), owed.info.key.clone());
-        self.replies
+        self.pending_replies
             .retain(|(other, reply)| *other != text || reply.try_send(Admission::IdConflict).is_err());
-        self.open(text, Admission::IdConflict);
-        self.over(text);
+        self.mark_answered(text, Admission::IdConflict);
+        self.finish(text);
         self.ids.remove(&id);
-        self.pass_gate(text, key.as_deref(), None);
+        self.pass_in_key_order(text, key.as_deref(), None);
         true
     }
 
-    fn handed(&mut self, text: TextId, info: &TextInfo) -> AcceptedText {
+    fn accepted_text(&mut self, text: TextId, info: &TextInfo) -> AcceptedText {
         AcceptedText {
             text,
-            product: self.table.find(&info.product).expect("terms last as long as their texts"),
+            product: self
+                .table
+                .find(&info.product)
+                .expect("product settings are kept as long as their texts"),
             dest: DestId(self.dests.place(&info.dest)),
             key: info.key.as_deref().and_then(|key| self.keys.find(key)),
             valid_until: Moment::from_millis(info.until_ms),
         }
     }
 
-    /// Lets a text's event through when all earlier texts of its key are through or gone.
-    fn pass_gate(&mut self, text: TextId, key: Option<&str>, event: Option<Event>) {
-        let Some(gate) = key.and_then(|key| self.gates.get_mut(key)) else {
-            self.events.extend(event);
+    /// Passes a text's event to the rules once all earlier texts of its key have passed or are gone. Without an event the
+    /// text leaves the queue of its key.
+    fn pass_in_key_order(&mut self, text: TextId, key: Option<&str>, event: Option<Event>) {
+        let Some(queue) = key.and_then(|key| self.key_queues.get_mut(key)) else {
+            self.pending_events.extend(event);
             return;
         };
-        match gate.iter_mut().find(|(id, _)| *id == text) {
+        match queue.iter_mut().find(|(id, _)| *id == text) {
             Some(at) => match event {
-                Some(event) => at.1 = Gate::Open(event),
-                None => gate.retain(|(id, _)| *id != text),
+                Some(event) => at.1 = KeyQueueState::Ready(event),
+                None => queue.retain(|(id, _)| *id != text),
             },
-            None => self.events.extend(event),
+            None => self.pending_events.extend(event),
         }
-        while let Some((_, Gate::Open(_))) = gate.front() {
-            let Some((_, Gate::Open(event))) = gate.pop_front() else { break };
-            self.events.push(event);
+        while let Some((_, KeyQueueState::Ready(_))) = queue.front() {
+            let Some((_, KeyQueueState::Ready(event))) = queue.pop_front() else { break };
+            self.pending_events.push(event);
         }
-        if gate.is_empty()
+        if queue.is_empty()
             && let Some(key) = key
         {
-            self.gates.remove(key);
+            self.key_queues.remove(key);
         }
     }
 
-    /// Nothing more is owed for a text, nor has a report to go.
-    fn over(&mut self, text: TextId) {
+    /// Ends a text without a report.
+    fn finish(&mut self, text: TextId) {
         if let Some(owed) = self.wal.owed().get(&text.0) {
             self.ids.mark_finished(&owed.info.id);
             if let Some(key) = &owed.info.key {
@@ -772,27 +798,27 @@
         }
     }
 
-    fn resume(&mut self) {
+    fn resume_texts(&mut self) {
         let left: Vec<_> = self.wal.owed().iter().map(|(text, owed)| (TextId(*text), owed.clone())).collect();
         for (text, owed) in left {
             let info = &owed.info;
             if self.table.find(&info.product).is_none() {
-                log!("{} is of a product that is no more; it is given up", info.id);
+                log!("{}: the settings of its product are missing; the text is given up", info.id);
                 self.wal.ended(text.0, Some(Report::Undeliverable));
             }
             self.counters.resumed.add(1);
             self.ids.insert(info.id.clone(), text, info.form(&owed.body), true);
             if let Some(key) = &info.key {
                 self.keys.acquire(key);
-                self.gates.entry(key.clone()).or_default().push_back((text, Gate::Shut));
+                self.key_queues.entry(key.clone()).or_default().push_back((text, KeyQueueState::Blocked));
             }
             match self.wal.owed().get(&text.0).and_then(|owed| owed.report) {
                 Some(report) => {
-                    self.notes.push(Notice { text, id: info.id.clone(), report });
-                    // Those behind it in its key wait for the report to be heard where they can be ended in time.
+                    self.pending_notices.push(Notice { text, id: info.id.clone(), report });
+                    // Later texts of its key wait until the report is acknowledged, if they can still be ended in time.
                     if self.table.find(&info.product).is_some() {
-                        let handed = self.handed(text, info);
-                        self.pass_gate(text, info.key.as_deref(), Some(Event::UnreportedEnd(handed)));
+                        let handed = self.accepted_text(text, info);
+                        self.pass_in_key_order(text, info.key.as_deref(), Some(Event::UnreportedEnd(handed)));
                     }
                 }
                 None => {
@@ -800,27 +826,27 @@
                         let known = self.site.zones.find(&zone.to_owned(), "zone");
                         ZoneId(known.unwrap_or(usize::MAX))
                     });
-                    let handed = self.handed(text, info);
+                    let handed = self.accepted_text(text, info);
                     let left = handed.valid_until.since(self.clock.now()).as_millis();
                     log_account!(text = text.0, dest = info.dest, submits = past.submits, left; "resumed");
-                    self.pass_gate(text, info.key.as_deref(), Some(Event::Resumed(handed, past)));
+                    self.pass_in_key_order(text, info.key.as_deref(), Some(Event::Resumed(handed, past)));
                 }
             }
         }
     }
 
-    fn listed(&mut self, scope: Scope, members: Vec<Listed>) {
+    fn apply_list(&mut self, scope: Scope, members: Vec<Listed>) {
         let mut entries = Vec::new();
         let mut told = BTreeSet::new();
-        let out: Vec<String> = self.out_by_hand().map(str::to_owned).collect();
+        let out: Vec<String> = self.out_of_service().map(str::to_owned).collect();
         for member in members {
             if let Some(before) = self.endpoints.remove_if_replaced(&member) {
-                entries.extend(self.deleted(before));
+                entries.extend(self.deletion_entry(before));
             }
             let from = self.endpoints.condition(&member.name);
             if from != Some(member.condition) {
                 let (to, revision) = (member.condition, self.revision);
-                log_state!(endpoint = member.name, from:?, to:?, revision:?; "an endpoint changed its state");
+                log_state!(endpoint = member.name, from:?, to:?, revision:?; "endpoint changed its state");
             }
             let (at, place) = self.endpoints.upsert(&member);
             let (dest, condition, units) = (member.dest, member.condition, member.units);
@@ -830,7 +856,7 @@
             place.address = member.address.or(place.address);
             if moved {
                 self.endpoints.retire(at);
-                self.withhold_all(at);
+                self.cancel_unsent_calls(at);
             }
             if member.condition == Condition::Deleted {
                 self.endpoints.mark_unlisted(at);
@@ -848,39 +874,40 @@
             let off = self.endpoints.ids().into_iter().filter(|at| !told.contains(at));
             off.for_each(|at| self.endpoints.mark_unlisted(at));
         }
-        self.events.push(Event::ListReceived { scope, entries });
-        // What is on the list anew is not known there as taken out.
-        out.iter().for_each(|name| self.maintain(name, true));
+        self.pending_events.push(Event::ListReceived { scope, entries });
+        // The rules don't know that a newly listed endpoint is out of service, so they are told again.
+        out.iter().for_each(|name| self.set_maintenance(name, true));
     }
 
-    /// What the decisions are told of an endpoint that is over though the list goes on to name another one like it.
-    fn deleted(&mut self, endpoint: EndpointId) -> Option<Entry> {
+    /// The entry that reports an endpoint as deleted to the rules when another one has replaced it under its name.
+    fn deletion_entry(&mut self, endpoint: EndpointId) -> Option<Entry> {
         let place = self.endpoints.get(endpoint)?;
         let (dest, kind, zone, units) = (place.dest, place.kind, place.zone, place.units);
         let dest = DestId(self.dests.place(&dest));
         Some(Entry { endpoint, dest, kind, zone, units, condition: Condition::Deleted })
     }
 
-    /// No call leaves any more for where an endpoint was: somebody else may be there now.
-    fn withhold_all(&mut self, endpoint: EndpointId) {
-        let out = self.out.iter().filter(|(_, to)| **to == endpoint);
+    /// Cancels all unsent calls to an endpoint whose address has changed: another host may have the old address now.
+    fn cancel_unsent_calls(&mut self, endpoint: EndpointId) {
+        let out = self.in_flight.iter().filter(|(_, to)| **to == endpoint);
         for submit in out.map(|(submit, _)| *submit).collect::<Vec<_>>() {
             self.endpoints.send_to_peers(endpoint, peer::Ask::Withhold(submit));
         }
     }
 
-    /// Asks the decisions once, writes down what they say, then carries it out.
+    /// Runs one step of the rules, writes its decisions to the journal, then carries them out.
     fn decide(&mut self) {
         let at = Instant::now();
         let now = self.clock.moment(at);
-        let events = std::mem::take(&mut self.events);
+        let events = std::mem::take(&mut self.pending_events);
         let mut calls: Vec<(EndpointId, Call)> = Vec::new();
         let mut asks: Vec<(EndpointId, peer::Ask)> = Vec::new();
         for action in self.rules.step(now, events) {
             match action {
                 Action::Submit { text, endpoint, time_out, send_deadline, shares_connection } => {
-                    let Some(part) = self.submit(text, endpoint, at, now, (time_out, send_deadline)) else {
-                        log!("a submit for a text that is not at hand is dropped");
+                    let Some(part) = self.record_submit(text, endpoint, at, now, (time_out, send_deadline))
+                    else {
+                        log!("a submit of an unknown text or endpoint is dropped");
                         continue;
                     };
                     let kind = self.endpoints.get(endpoint).map_or(0, |place| place.kind.0);
@@ -894,27 +921,27 @@
                 Action::Nack { text, retry_after } => {
                     self.counters.nacked.add(1);
                     let again_ms = retry_after.map(Span::as_millis);
-                    self.give_up(text, Report::Nacked { again_ms });
+                    self.end_with_report(text, Report::Nacked { again_ms });
                 }
                 Action::Undeliverable { text } => {
                     self.counters.undeliverable.add(1);
-                    self.give_up(text, Report::Undeliverable);
+                    self.end_with_report(text, Report::Undeliverable);
                 }
                 Action::Revoke { text, submit } => {
-                    let out = self.out.get(&(text, submit));
+                    let out = self.in_flight.get(&(text, submit));
                     asks.extend(out.map(|endpoint| (*endpoint, peer::Ask::Revoke((text, submit)))));
                 }
                 Action::CancelUnsent { text, submit } => {
-                    let out = self.out.get(&(text, submit));
+                    let out = self.in_flight.get(&(text, submit));
                     asks.extend(out.map(|endpoint| (*endpoint, peer::Ask::Withhold((text, submit)))));
                 }
                 Action::CloseIdle { endpoint } => asks.push((endpoint, peer::Ask::CloseIdle)),
                 Action::Subscribe { on } => _ = self.list.try_send(list::Ask::Watch(on)),
                 Action::ReadList => _ = self.list.try_send(list::Ask::Read),
-                Action::WakeAt(at) => self.wake = Some(at),
+                Action::WakeAt(at) => self.wake_at = Some(at),
                 Action::Log(note) => log!("{note}"),
-                // This protocol has neither probes nor words between senders.
-                Action::Probe { endpoint } => self.events.push(Event::Probed {
+                // This protocol has neither probes nor messages between senders.
+                Action::Probe { endpoint } => self.pending_events.push(Event::Probed {
                     endpoint,
                     verdict: Verdict::Moot,
                     latency: Span::ZERO,
@@ -925,8 +952,8 @@
         }
         let written = self.flush();
         for (endpoint, call) in calls {
-            // What the log does not know of may not leave: a next life would send it again.
-            if written { self.carry(endpoint, call) } else { self.not_sent(endpoint, call) }
+            // A call that is not in the journal must not be sent: a restarted sender would send it again.
+            if written { self.send_call(endpoint, call) } else { self.report_not_sent(endpoint, call) }
         }
         for (endpoint, ask) in asks {
             self.endpoints.send_to_peers(endpoint, ask);
@@ -934,7 +961,7 @@
         self.endpoints.resend_queued();
     }
 
-    fn submit(
+    fn record_submit(
         &mut self,
         text: TextId,
         endpoint: EndpointId,
@@ -956,7 +983,7 @@
         place.in_flight += 1;
         let zone = self.site.zones.name(place.zone.0);
         self.wal.submitted(text.0, now, zone);
-        self.out.insert((text, part.submit), endpoint);
+        self.in_flight.insert((text, part.submit), endpoint);
         self.counters.submitted.add(1);
         log_account!(text = text.0, submit = part.submit, endpoint = endpoint.0; "submit");
         let place = &place.name;
@@ -971,7 +998,7 @@
         log_request!(id, submit, endpoint:?, reason:? = outcome.verdict, in_doubt = outcome.in_doubt, ms; "call ended");
     }
 
-    fn give_up(&mut self, text: TextId, report: Report) {
+    fn end_with_report(&mut self, text: TextId, report: Report) {
         let Some(owed) = self.wal.owed().get(&text.0) else { return };
         let id = owed.info.id.clone();
         let (dest, submits) = (owed.info.dest, owed.submits());
@@ -981,21 +1008,22 @@
         match report {
             Report::Nacked { again_ms } => {
                 let again_ms = again_ms.map_or(-1.0, f64::round);
-                log_decision!(text = id, dest, submits, again_ms, reason = "no room in its time"; "nacked");
+                log_decision!(text = id, dest, submits, again_ms, reason = "no capacity within its validity period"; "nacked");
             }
             Report::Undeliverable => {
                 let reason = match owed.is_in_doubt() {
-                    true => "a submit may have run and none more may go in its time",
-                    false => "its time is up, or its submits are",
+                    true => "a submit may have run and no other can be made in time",
+                    false => "validity period over or submits used up",
                 };
                 log_decision!(text = id, dest, submits, reason; "undeliverable");
             }
         }
         self.wal.ended(text.0, Some(report));
-        self.notes.push(Notice { text, id, report });
+        self.pending_notices.push(Notice { text, id, report });
     }
 
-    /// Writes what was decided, then lets it be known: answers to clients and reports.
+    /// Writes the decisions to the journal, then answers clients and operators and sends reports. Returns whether the write
+    /// succeeded.
     fn flush(&mut self) -> bool {
         let compactions = self.wal.compactions;
         let flushed = self.wal.flush();
@@ -1003,10 +1031,10 @@
         if let Err(e) = &flushed {
             log!("the log can't be written: {e}");
         }
-        for (text, reply) in std::mem::take(&mut self.replies) {
+        for (text, reply) in std::mem::take(&mut self.pending_replies) {
             if flushed.is_ok() {
                 if reply.try_send(Admission::Accepted(text)).is_err() {
-                    self.hear(Message::AnswerLost(text));
+                    self.handle(Message::AnswerLost(text));
                 }
                 continue;
             }
@@ -1015,23 +1043,24 @@
             self.ids.remove(&owed.info.id);
             let answer =
                 if self.wal.may_be_found(text.0) { Admission::Indeterminate } else { Admission::Full };
-            self.open(text, answer);
+            self.mark_answered(text, answer);
             key.iter().for_each(|key| self.keys.release(key));
             self.wal.forget(text.0);
-            self.pass_gate(text, key.as_deref(), None);
+            self.pass_in_key_order(text, key.as_deref(), None);
             self.counters.turned_away.add(1);
             _ = reply.try_send(answer);
         }
-        self.hold(Holds { journal: flushed.is_err(), ..self.holds });
+        self.set_pause_reasons(PauseReasons { journal: flushed.is_err(), ..self.pause_reasons });
         self.answer_orders(flushed.is_ok());
         self.send_notices(flushed.is_ok());
         flushed.is_ok()
     }
 
-    /// Lets ends be known. One that is not in the journal is held back: a next life would go on with its text, whose client
-    /// has been told. Not beyond the text's time, after which no life does.
+    /// Reports ended texts. An end that is not in the journal is held back, since a restarted sender would go on with a text
+    /// whose client knows it as ended. It is held back only until the text's validity period is over; after that no
+    /// restarted sender submits it.
     fn send_notices(&mut self, written: bool) {
-        if self.notes.is_empty() {
+        if self.pending_notices.is_empty() {
             return;
         }
         let now = self.clock.now();
@@ -1039,20 +1068,20 @@
             let owed = self.wal.owed().get(&notice.text.0);
             written || owed.is_none_or(|owed| now >= Moment::from_millis(owed.info.until_ms))
         };
-        for notice in self.notes.extract_if(.., may_go) {
-            // The actor's mailbox holds as many as there can be texts.
+        for notice in self.pending_notices.extract_if(.., may_go) {
+            // The actor's mailbox has room for as many notices as there can be texts, so it is never full.
             if self.notices.try_send(notice).is_err() {
-                log!("the actor that reports is gone");
+                log!("the notices actor has ended; a report is lost");
             }
         }
-        if !self.notes.is_empty() {
+        if !self.pending_notices.is_empty() {
             let again = now + span(self.limits.report_pause);
-            self.wake = Some(self.wake.map_or(again, |wake| wake.min(again)));
+            self.wake_at = Some(self.wake_at.map_or(again, |wake| wake.min(again)));
         }
     }
 
-    fn carry(&mut self, endpoint: EndpointId, call: Call) {
-        let Some(place) = self.endpoints.get(endpoint) else { return self.not_sent(endpoint, call) };
+    fn send_call(&mut self, endpoint: EndpointId, call: Call) {
+        let Some(place) = self.endpoints.get(endpoint) else { return self.report_not_sent(endpoint, call) };
         if place.peer.is_none()
             && let Some(address) = place.address
         {
@@ -1060,33 +1089,33 @@
             let peer = Peer { endpoint, address, trunk: Arc::clone(&self.trunk), own: own.clone() };
             match threads::spawn("peer", self.limits.stack, move || peer.run(asks)) {
                 Ok(_) => place.peer = Some(own),
-                Err(e) => log!("no thread for {}: {e}", place.name),
+                Err(e) => log!("can't start a thread for {}: {e}", place.name),
             }
         }
         self.counters.calls.add(1);
-        let Some(peer) = &place.peer else { return self.not_sent(endpoint, call) };
+        let Some(peer) = &place.peer else { return self.report_not_sent(endpoint, call) };
         if let Err(lost) = peer.try_send(peer::Ask::Call(Box::new(call.to(endpoint, &self.trunk)))) {
             if lost.is_disconnected() {
                 place.peer = None;
             }
             if let peer::Ask::Call(call) = lost.into_inner() {
-                self.not_sent(endpoint, *call);
+                self.report_not_sent(endpoint, *call);
             }
         }
     }
 
     fn submit_ended(&mut self, text: TextId, submit: usize) {
-        let place = self.out.remove(&(text, submit)).and_then(|endpoint| self.endpoints.get(endpoint));
+        let place = self.in_flight.remove(&(text, submit)).and_then(|endpoint| self.endpoints.get(endpoint));
         place.into_iter().for_each(|place| place.submit_ended());
     }
 
-    /// The submits count, as the decisions have it, but nothing left.
-    fn not_sent(&mut self, endpoint: EndpointId, call: Call) {
+    /// Reports the submits of a call that was not sent as never run.
+    fn report_not_sent(&mut self, endpoint: EndpointId, call: Call) {
         for part in call.into_parts() {
             self.submit_ended(part.text, part.submit);
             self.wal.never_ran(part.text.0, part.submit);
             self.counters.not_sent.add(1);
-            self.events.push(Event::Outcome(Outcome {
+            self.pending_events.push(Event::Outcome(Outcome {
                 text: part.text,
                 submit: part.submit,
                 endpoint,
