--- a/crates/sender/src/decider.rs
+++ b/crates/sender/src/decider.rs
@@ -18,7 +18,7 @@
 use crate::peer::{self, Peer, Trunk};
 use crate::product_table::{self, ProductTable};
 use crate::request_ids::RequestIds;
-use crate::wal::{self, Kept, Report, TextInfo, Wal};
+use crate::text_journal::{self, AuxiliaryRecord, Report, TextInfo, TextJournal};
 use crate::{log, log_account, log_decision, log_request, log_state, threads};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use indigomast::api::*;
@@ -104,25 +104,31 @@
 
 /// Merges the product settings recorded in the journal with the current ones, before any text is accepted under them.
 /// Product settings that are neither current nor used by an unfinished text are dropped from the journal.
-pub fn reconcile_products(wal: &mut Wal, site: &mut Site, figures: &Figures) -> ProductTable {
-    let known = |wal: &Wal| {
-        let rows = wal.kept().filter_map(|kept| match kept {
-            Kept::Terms { reference, terms } => Some((reference.clone(), terms.clone())),
-            Kept::Out { .. } => None,
+pub fn reconcile_products(journal: &mut TextJournal, site: &mut Site, figures: &Figures) -> ProductTable {
+    let known = |journal: &TextJournal| {
+        let rows = journal.auxiliary_records().filter_map(|kept| match kept {
+            AuxiliaryRecord::Terms { reference, terms } => Some((reference.clone(), terms.clone())),
+            AuxiliaryRecord::Out { .. } => None,
         });
         rows.collect::<Vec<_>>()
     };
-    let mut all = ProductTable::new(known(wal));
+    let mut all = ProductTable::new(known(journal));
     let in_force: BTreeSet<usize> = all.add_from(&site.info).into_iter().map(|product| product.0).collect();
-    let owed: BTreeSet<String> = wal.owed().values().map(|owed| owed.info.product.clone()).collect();
-    let wanted = |reference: &str| {
-        owed.contains(reference) || all.find(reference).is_some_and(|product| in_force.contains(&product.0))
+    let outstanding: BTreeSet<String> =
+        journal.outstanding().values().map(|unfinished| unfinished.info.product.clone()).collect();
+    let is_needed = |reference: &str| {
+        outstanding.contains(reference)
+            || all.find(reference).is_some_and(|product| in_force.contains(&product.0))
     };
-    wal.drop_kept(|kept| matches!(kept, Kept::Terms { reference, .. } if !wanted(reference)));
-    let mut table = ProductTable::new(known(wal));
+    journal.remove_auxiliary(
+        |kept| matches!(kept, AuxiliaryRecord::Terms { reference, .. } if !is_needed(reference)),
+    );
+    let mut table = ProductTable::new(known(journal));
     let products = table.add_from(&site.info);
-    for (reference, terms) in table.rows() {
-        if !wal.keep(Kept::Terms { reference: reference.clone(), terms: terms.clone() }) {
+    for (reference, settings) in table.rows() {
+        if !journal
+            .add_auxiliary(AuxiliaryRecord::Terms { reference: reference.clone(), terms: settings.clone() })
+        {
             log!("the journal has no room for the product settings of {reference}");
         }
     }
@@ -133,7 +139,7 @@
 fn set_site_products(site: &mut Site, table: &ProductTable, products: &[ProductId], figures: &Figures) {
     let rows = || products.iter().map(|product| table.row(*product));
     site.references = rows().map(|(reference, _)| reference.clone()).collect();
-    site.ends = rows().map(|(_, terms)| figures.product(&terms.name)).collect();
+    site.ends = rows().map(|(_, settings)| figures.product(&settings.name)).collect();
 }
 
 /// The state of a text in the queue of its ordering key. Texts of one key are passed to the rules in the order in which
@@ -157,7 +163,7 @@
     pub trunk: Arc<Trunk>,
     pub list: Sender<list::Ask>,
     pub notices: Sender<Notice>,
-    pub wal: Wal,
+    pub journal: TextJournal,
     pub seed: u64,
     pub known: Listing,
     /// The state of the previous process, if it handed over in order.
@@ -188,7 +194,7 @@
     trunk: Arc<Trunk>,
     list: Sender<list::Ask>,
     notices: Sender<Notice>,
-    wal: Wal,
+    journal: TextJournal,
     rules: Rules,
     texts_per_call: Vec<usize>,
     endpoints: EndpointTable,
@@ -232,7 +238,8 @@
     pub fn run(self, messages: Receiver<Message>) {
         let site = self.site.get();
         let settings = Settings { products: self.table.products(), ..site.info.decode() };
-        let ends = self.table.rows().iter().map(|(_, terms)| self.figures.product(&terms.name)).collect();
+        let ends =
+            self.table.rows().iter().map(|(_, settings)| self.figures.product(&settings.name)).collect();
         log_account!(settings:?; "begins");
         let texts_per_call = settings.kinds.iter().map(|kind| kind.texts_per_call).collect();
         let overload = self.limits.overload;
@@ -276,7 +283,7 @@
             trunk: self.trunk,
             list: self.list,
             notices: self.notices,
-            wal: self.wal,
+            journal: self.journal,
             rules,
             texts_per_call,
             endpoints,
@@ -306,7 +313,7 @@
         if handed_over {
             // The journal's lock is released only when the process ends. The next owner may submit again what is in flight
             // here, and that ends only with this process's connections.
-            std::mem::forget(decider.wal);
+            std::mem::forget(decider.journal);
         }
     }
 }
@@ -381,7 +388,7 @@
                 Err(ErrorKind::StorageFull.into())
             };
             let Err(e) = written else {
-                log!("another process takes over; {} texts are owed", self.wal.owed().len());
+                log!("another process takes over; {} texts are owed", self.journal.outstanding().len());
                 // The exit that follows is intended, like one after a signal.
                 self.handover.iter().for_each(|own| own.intake.stopping.store(true, Ordering::Relaxed));
                 return true;
@@ -436,7 +443,7 @@
 
     /// Updates the metrics of held texts and of listed and avoided endpoints.
     fn update_metrics(&mut self) {
-        self.figures.holds(self.wal.owed().len());
+        self.figures.holds(self.journal.outstanding().len());
         if self.endpoints_counted_at.is_none_or(|counted_at| counted_at.elapsed() >= self.limits.sight_beat) {
             self.endpoints_counted_at = Some(Instant::now());
             let avoided = self.endpoints.listed().filter(|at| self.rules.avoids(*at)).count();
@@ -446,7 +453,11 @@
 
     fn can_exit(&self, since: Duration) -> bool {
         let idle = self.in_flight.is_empty() && self.unanswered.is_empty();
-        let over = if since < self.limits.stop_submits { idle && self.wal.owed().is_empty() } else { idle };
+        let over = if since < self.limits.stop_submits {
+            idle && self.journal.outstanding().is_empty()
+        } else {
+            idle
+        };
         since >= self.limits.stop_most || (since >= self.limits.stop_least && over)
     }
 
@@ -457,13 +468,13 @@
                 if !self.mark_answered(text, Admission::AlreadyAccepted) {
                     return;
                 }
-                let Some(owed) = self.wal.owed().get(&text.0) else { return };
+                let Some(unfinished) = self.journal.outstanding().get(&text.0) else { return };
                 self.counters.taken.add(1);
-                let info = owed.info.clone();
-                let handed = self.accepted_text(text, &info);
-                let left = handed.valid_until.since(self.clock.now()).as_millis();
+                let info = unfinished.info.clone();
+                let accepted = self.accepted_text(text, &info);
+                let left = accepted.valid_until.since(self.clock.now()).as_millis();
                 log_account!(text = text.0, dest = info.dest, left; "taken");
-                self.pass_in_key_order(text, info.key.as_deref(), Some(Event::Accepted(handed)));
+                self.pass_in_key_order(text, info.key.as_deref(), Some(Event::Accepted(accepted)));
             }
             Message::RequestAbandoned(answer) => {
                 // If the decider has not answered yet, its answer will find the channel closed.
@@ -475,9 +486,9 @@
                 if !self.mark_answered(text, Admission::Full) {
                     return;
                 }
-                let Some(owed) = self.wal.owed().get(&text.0) else { return };
+                let Some(unfinished) = self.journal.outstanding().get(&text.0) else { return };
                 self.counters.withdrawn.add(1);
-                let (id, key) = (owed.info.id.clone(), owed.info.key.clone());
+                let (id, key) = (unfinished.info.id.clone(), unfinished.info.key.clone());
                 self.finish(text);
                 self.ids.remove(&id);
                 self.pass_in_key_order(text, key.as_deref(), None);
@@ -494,16 +505,16 @@
                 );
                 self.log_outcome(&outcome);
                 if outcome.never_ran() {
-                    self.wal.never_ran(outcome.text.0, outcome.submit);
+                    self.journal.record_never_ran(outcome.text.0, outcome.submit);
                 }
                 if outcome.ended || outcome.verdict == Verdict::Delivered {
                     // A text that was given up meanwhile keeps its pending report, which is harmless.
-                    if let Some(owed) = self.wal.owed().get(&outcome.text.0)
-                        && owed.report.is_none()
+                    if let Some(unfinished) = self.journal.outstanding().get(&outcome.text.0)
+                        && unfinished.report.is_none()
                     {
                         if outcome.verdict == Verdict::Delivered {
-                            let took = self.clock.now().as_millis() - owed.taken_ms();
-                            self.end_counters(&owed.info.product).delivered(took);
+                            let took = self.clock.now().as_millis() - unfinished.taken_ms();
+                            self.end_counters(&unfinished.info.product).delivered(took);
                         }
                         self.finish(outcome.text);
                     }
@@ -534,14 +545,14 @@
             Message::Reported(texts) => {
                 for text in texts {
                     self.counters.reported.add(1);
-                    let Some(owed) = self.wal.owed().get(&text.0) else { continue };
-                    let (id, key) = (owed.info.id.clone(), owed.info.key.clone());
-                    let ends = self.end_counters(&owed.info.product);
-                    match owed.report {
+                    let Some(unfinished) = self.journal.outstanding().get(&text.0) else { continue };
+                    let (id, key) = (unfinished.info.id.clone(), unfinished.info.key.clone());
+                    let ends = self.end_counters(&unfinished.info.product);
+                    match unfinished.report {
                         Some(Report::Undeliverable) => ends.errored.add(1),
                         _ => ends.deferred.add(1),
                     }
-                    self.wal.reported(text.0);
+                    self.journal.record_reported(text.0);
                     self.ids.mark_finished(&id);
                     self.pass_in_key_order(text, key.as_deref(), None);
                     if let Some(key) = key {
@@ -573,14 +584,14 @@
             _ = order.reply.try_send(Err(Refusal::UnknownEndpoint));
             return;
         }
-        let kept = Kept::Out { endpoint: order.endpoint.clone() };
+        let kept = AuxiliaryRecord::Out { endpoint: order.endpoint.clone() };
         let late = Instant::now() >= order.by;
-        if late || (order.out && !is_out && !self.wal.keep(kept.clone())) {
+        if late || (order.out && !is_out && !self.journal.add_auxiliary(kept.clone())) {
             _ = order.reply.try_send(Err(Refusal::NotNow));
             return;
         }
         if !order.out {
-            self.wal.drop_kept(|other| *other == kept);
+            self.journal.remove_auxiliary(|other| *other == kept);
         }
         self.set_maintenance(&order.endpoint, order.out);
         if is_out == order.out {
@@ -592,9 +603,9 @@
     }
 
     fn out_of_service(&self) -> impl Iterator<Item = &str> {
-        self.wal.kept().filter_map(|kept| match kept {
-            Kept::Out { endpoint } => Some(endpoint.as_str()),
-            Kept::Terms { .. } => None,
+        self.journal.auxiliary_records().filter_map(|kept| match kept {
+            AuxiliaryRecord::Out { endpoint } => Some(endpoint.as_str()),
+            AuxiliaryRecord::Terms { .. } => None,
         })
     }
 
@@ -621,11 +632,11 @@
                 );
                 continue;
             }
-            let kept = Kept::Out { endpoint: order.endpoint.clone() };
+            let kept = AuxiliaryRecord::Out { endpoint: order.endpoint.clone() };
             match order.out {
-                true if written => self.wal.drop_kept(|other| *other == kept),
-                true => self.wal.forget_kept(&kept),
-                false => _ = self.wal.keep(kept),
+                true if written => self.journal.remove_auxiliary(|other| *other == kept),
+                true => self.journal.abandon_auxiliary(&kept),
+                false => _ = self.journal.add_auxiliary(kept),
             }
             self.set_maintenance(&order.endpoint, !order.out);
         }
@@ -636,24 +647,29 @@
         let SettingsChange { mut site, reply } = change;
         let before = self.table.len();
         let products = self.table.add_from(&site.info);
-        let rows: Vec<Kept> = self.table.rows()[before..]
+        let rows: Vec<AuxiliaryRecord> = self.table.rows()[before..]
             .iter()
-            .map(|(reference, terms)| Kept::Terms { reference: reference.clone(), terms: terms.clone() })
+            .map(|(reference, settings)| AuxiliaryRecord::Terms {
+                reference: reference.clone(),
+                terms: settings.clone(),
+            })
             .collect();
-        let kept = self.table.len() <= self.limits.terms && rows.iter().all(|row| self.wal.keep(row.clone()));
+        let kept = self.table.len() <= self.limits.terms
+            && rows.iter().all(|row| self.journal.add_auxiliary(row.clone()));
         if !kept || !self.flush() {
-            rows.iter().for_each(|row| self.wal.forget_kept(row));
+            rows.iter().for_each(|row| self.journal.abandon_auxiliary(row));
             self.table.truncate(before);
             _ = reply.try_send(Err("the journal has no room for the new product settings".into()));
             return;
         }
         set_site_products(&mut site, &self.table, &products, &self.figures);
-        let names = self.table.rows()[before..].iter().map(|(_, terms)| self.figures.product(&terms.name));
+        let names =
+            self.table.rows()[before..].iter().map(|(_, settings)| self.figures.product(&settings.name));
         self.ends.extend(names);
         let settings = Settings { products: self.table.products(), ..site.info.decode() };
         self.texts_per_call = settings.kinds.iter().map(|kind| kind.texts_per_call).collect();
         let longest = site.references.iter().chain(&site.info.localities).map(String::len).max().unwrap_or(0);
-        self.wal.reserve_for(wal::reserve(site.info.ceilings.max_attempts, longest));
+        self.journal.raise_reserve(text_journal::reserve_bytes(site.info.ceilings.max_attempts, longest));
         self.pending_events.push(Event::Settings(settings));
         self.revision = None;
         self.site = Arc::new(site);
@@ -672,18 +688,18 @@
     fn hand_in(&mut self, text: HandIn) {
         let HandIn { mut info, body, proven, came, reply } = text;
         let late = self.stopping_since.is_some_and(|since| since.elapsed() >= self.limits.stop_submits);
-        let full = self.wal.held() >= self.site.info.ceilings.most_held || late;
-        let form = info.form(&body);
+        let full = self.journal.unfinished() >= self.site.info.ceilings.most_held || late;
+        let fingerprint = info.fingerprint(&body);
         if let Some(known) = self.ids.get(&info.id) {
-            if known.checksum != form {
+            if known.fingerprint != fingerprint {
                 self.counters.conflicts.add(1);
                 // If this sender was slow, a forged text under a client's id may have been read before the client's own.
                 // Passed on, it would be invalid, and so would be all texts in the same call. While neither has been
                 // answered, the text from a proven connection is accepted; without one, neither is.
-                let unpromised =
+                let unconfirmed =
                     known.text.filter(|text| self.pending_replies.iter().any(|(id, _)| id == text));
                 let withdrawn =
-                    unpromised.is_some_and(|earlier| !known.proven && self.withdraw_unanswered(earlier));
+                    unconfirmed.is_some_and(|earlier| !known.proven && self.withdraw_unanswered(earlier));
                 if !withdrawn || !proven {
                     _ = reply.try_send(Admission::IdConflict);
                     return;
@@ -718,15 +734,15 @@
         let (id, key) = (info.id.clone(), info.key.clone());
         let dest = info.dest;
         let why = if late { "stopping" } else { "full" };
-        let taken = if full { None } else { self.wal.take(info, body, now) };
+        let taken = if full { None } else { self.journal.accept(info, body, now) };
         let Some(text) = taken.map(TextId) else {
             self.counters.turned_away.add(1);
-            log_account!(dest, held = self.wal.held(), why; "turned-away");
+            log_account!(dest, held = self.journal.unfinished(), why; "turned-away");
             log_request!(id, dest, reason = why; "refused");
             _ = reply.try_send(Admission::Full);
             return;
         };
-        self.ids.insert(id, text, form, proven);
+        self.ids.insert(id, text, fingerprint, proven);
         self.unanswered.insert(text, Vec::new());
         if let Some(key) = key {
             self.keys.acquire(&key);
@@ -738,8 +754,8 @@
     /// Withdraws a text whose client has not been answered yet, and answers it with a conflict. Returns whether the text
     /// was still there.
     fn withdraw_unanswered(&mut self, text: TextId) -> bool {
-        let Some(owed) = self.wal.owed().get(&text.0) else { return false };
-        let (id, key) = (owed.info.id.clone(), owed.info.key.clone());
+        let Some(unfinished) = self.journal.outstanding().get(&text.0) else { return false };
+        let (id, key) = (unfinished.info.id.clone(), unfinished.info.key.clone());
         self.pending_replies
             .retain(|(other, reply)| *other != text || reply.try_send(Admission::IdConflict).is_err());
         self.mark_answered(text, Admission::IdConflict);
@@ -789,47 +805,56 @@
 
     /// Ends a text without a report.
     fn finish(&mut self, text: TextId) {
-        if let Some(owed) = self.wal.owed().get(&text.0) {
-            self.ids.mark_finished(&owed.info.id);
-            if let Some(key) = &owed.info.key {
+        if let Some(unfinished) = self.journal.outstanding().get(&text.0) {
+            self.ids.mark_finished(&unfinished.info.id);
+            if let Some(key) = &unfinished.info.key {
                 self.keys.release(key);
             }
-            self.wal.ended(text.0, None);
+            self.journal.record_end(text.0, None);
         }
     }
 
     fn resume_texts(&mut self) {
-        let left: Vec<_> = self.wal.owed().iter().map(|(text, owed)| (TextId(*text), owed.clone())).collect();
-        for (text, owed) in left {
-            let info = &owed.info;
+        let left: Vec<_> = self
+            .journal
+            .outstanding()
+            .iter()
+            .map(|(text, unfinished)| (TextId(*text), unfinished.clone()))
+            .collect();
+        for (text, unfinished) in left {
+            let info = &unfinished.info;
             if self.table.find(&info.product).is_none() {
                 log!("{}: the settings of its product are missing; the text is given up", info.id);
-                self.wal.ended(text.0, Some(Report::Undeliverable));
+                self.journal.record_end(text.0, Some(Report::Undeliverable));
             }
             self.counters.resumed.add(1);
-            self.ids.insert(info.id.clone(), text, info.form(&owed.body), true);
+            self.ids.insert(info.id.clone(), text, info.fingerprint(&unfinished.body), true);
             if let Some(key) = &info.key {
                 self.keys.acquire(key);
                 self.key_queues.entry(key.clone()).or_default().push_back((text, KeyQueueState::Blocked));
             }
-            match self.wal.owed().get(&text.0).and_then(|owed| owed.report) {
+            match self.journal.outstanding().get(&text.0).and_then(|unfinished| unfinished.report) {
                 Some(report) => {
                     self.pending_notices.push(Notice { text, id: info.id.clone(), report });
                     // Later texts of its key wait until the report is acknowledged, if they can still be ended in time.
                     if self.table.find(&info.product).is_some() {
-                        let handed = self.accepted_text(text, info);
-                        self.pass_in_key_order(text, info.key.as_deref(), Some(Event::UnreportedEnd(handed)));
+                        let accepted = self.accepted_text(text, info);
+                        self.pass_in_key_order(
+                            text,
+                            info.key.as_deref(),
+                            Some(Event::UnreportedEnd(accepted)),
+                        );
                     }
                 }
                 None => {
-                    let past = owed.past(|zone| {
+                    let past = unfinished.past(|zone| {
                         let known = self.site.zones.find(&zone.to_owned(), "zone");
                         ZoneId(known.unwrap_or(usize::MAX))
                     });
-                    let handed = self.accepted_text(text, info);
-                    let left = handed.valid_until.since(self.clock.now()).as_millis();
+                    let accepted = self.accepted_text(text, info);
+                    let left = accepted.valid_until.since(self.clock.now()).as_millis();
                     log_account!(text = text.0, dest = info.dest, submits = past.submits, left; "resumed");
-                    self.pass_in_key_order(text, info.key.as_deref(), Some(Event::Resumed(handed, past)));
+                    self.pass_in_key_order(text, info.key.as_deref(), Some(Event::Resumed(accepted, past)));
                 }
             }
         }
@@ -837,7 +862,7 @@
 
     fn apply_list(&mut self, scope: Scope, members: Vec<Listed>) {
         let mut entries = Vec::new();
-        let mut told = BTreeSet::new();
+        let mut listed = BTreeSet::new();
         let out: Vec<String> = self.out_of_service().map(str::to_owned).collect();
         for member in members {
             if let Some(before) = self.endpoints.remove_if_replaced(&member) {
@@ -848,12 +873,12 @@
                 let (to, revision) = (member.condition, self.revision);
                 log_state!(endpoint = member.name, from:?, to:?, revision:?; "endpoint changed its state");
             }
-            let (at, place) = self.endpoints.upsert(&member);
+            let (at, entry) = self.endpoints.upsert(&member);
             let (dest, condition, units) = (member.dest, member.condition, member.units);
             log_account!(endpoint = at.0, name = member.name, dest, kind = member.kind.0, condition:?, units; "listed");
-            told.insert(at);
-            let moved = member.address.is_some() && member.address != place.address;
-            place.address = member.address.or(place.address);
+            listed.insert(at);
+            let moved = member.address.is_some() && member.address != entry.address;
+            entry.address = member.address.or(entry.address);
             if moved {
                 self.endpoints.retire(at);
                 self.cancel_unsent_calls(at);
@@ -871,8 +896,8 @@
             });
         }
         if scope == Scope::Complete {
-            let off = self.endpoints.ids().into_iter().filter(|at| !told.contains(at));
-            off.for_each(|at| self.endpoints.mark_unlisted(at));
+            let unlisted = self.endpoints.ids().into_iter().filter(|at| !listed.contains(at));
+            unlisted.for_each(|at| self.endpoints.mark_unlisted(at));
         }
         self.pending_events.push(Event::ListReceived { scope, entries });
         // The rules don't know that a newly listed endpoint is out of service, so they are told again.
@@ -881,8 +906,8 @@
 
     /// The entry that reports an endpoint as deleted to the rules when another one has replaced it under its name.
     fn deletion_entry(&mut self, endpoint: EndpointId) -> Option<Entry> {
-        let place = self.endpoints.get(endpoint)?;
-        let (dest, kind, zone, units) = (place.dest, place.kind, place.zone, place.units);
+        let entry = self.endpoints.get(endpoint)?;
+        let (dest, kind, zone, units) = (entry.dest, entry.kind, entry.zone, entry.units);
         let dest = DestId(self.dests.place(&dest));
         Some(Entry { endpoint, dest, kind, zone, units, condition: Condition::Deleted })
     }
@@ -905,15 +930,15 @@
         for action in self.rules.step(now, events) {
             match action {
                 Action::Submit { text, endpoint, time_out, send_deadline, shares_connection } => {
-                    let Some(part) = self.record_submit(text, endpoint, at, now, (time_out, send_deadline))
+                    let Some(part) = self.prepare_submit(text, endpoint, at, now, (time_out, send_deadline))
                     else {
                         log!("a submit of an unknown text or endpoint is dropped");
                         continue;
                     };
-                    let kind = self.endpoints.get(endpoint).map_or(0, |place| place.kind.0);
-                    let most = self.texts_per_call.get(kind).copied().unwrap_or(1);
-                    let open = calls.iter_mut().rev().find(|(to, _)| *to == endpoint);
-                    match open.filter(|(_, call)| call.parts.len() < most) {
+                    let kind = self.endpoints.get(endpoint).map_or(0, |entry| entry.kind.0);
+                    let max_texts = self.texts_per_call.get(kind).copied().unwrap_or(1);
+                    let unfilled = calls.iter_mut().rev().find(|(to, _)| *to == endpoint);
+                    match unfilled.filter(|(_, call)| call.parts.len() < max_texts) {
                         Some((_, call)) => call.joins(part, shares_connection),
                         None => calls.push((endpoint, Call::new(part, at, shares_connection))),
                     }
@@ -961,7 +986,7 @@
         self.endpoints.resend_queued();
     }
 
-    fn record_submit(
+    fn prepare_submit(
         &mut self,
         text: TextId,
         endpoint: EndpointId,
@@ -969,40 +994,40 @@
         now: Moment,
         (time_out, send_deadline): (Span, Moment),
     ) -> Option<Part> {
-        let owed = self.wal.owed().get(&text.0)?;
+        let unfinished = self.journal.outstanding().get(&text.0)?;
         let part = Part {
             text,
-            submit: owed.submits(),
-            id: owed.info.id.clone(),
-            mark: owed.info.mark.clone(),
-            body: Arc::clone(&owed.body),
+            submit: unfinished.submits(),
+            id: unfinished.info.id.clone(),
+            mark: unfinished.info.mark.clone(),
+            body: Arc::clone(&unfinished.body),
             by: at + duration(time_out),
             send_deadline: at + duration(send_deadline.since(now)),
         };
-        let place = self.endpoints.get(endpoint)?;
-        place.in_flight += 1;
-        let zone = self.site.zones.name(place.zone.0);
-        self.wal.submitted(text.0, now, zone);
+        let entry = self.endpoints.get(endpoint)?;
+        entry.in_flight += 1;
+        let zone = self.site.zones.name(entry.zone.0);
+        self.journal.record_submit(text.0, now, zone);
         self.in_flight.insert((text, part.submit), endpoint);
         self.counters.submitted.add(1);
         log_account!(text = text.0, submit = part.submit, endpoint = endpoint.0; "submit");
-        let place = &place.name;
-        log_request!(id = part.id, submit = part.submit, endpoint = place, revision:? = self.revision; "call");
+        let entry = &entry.name;
+        log_request!(id = part.id, submit = part.submit, endpoint = entry, revision:? = self.revision; "call");
         Some(part)
     }
 
     fn log_outcome(&mut self, outcome: &Outcome) {
-        let Some(owed) = self.wal.owed().get(&outcome.text.0) else { return };
-        let (id, submit, ms) = (&owed.info.id, outcome.submit, outcome.latency.as_millis());
-        let endpoint = self.endpoints.get(outcome.endpoint).map(|place| place.name.as_str());
+        let Some(unfinished) = self.journal.outstanding().get(&outcome.text.0) else { return };
+        let (id, submit, ms) = (&unfinished.info.id, outcome.submit, outcome.latency.as_millis());
+        let endpoint = self.endpoints.get(outcome.endpoint).map(|entry| entry.name.as_str());
         log_request!(id, submit, endpoint:?, reason:? = outcome.verdict, in_doubt = outcome.in_doubt, ms; "call ended");
     }
 
     fn end_with_report(&mut self, text: TextId, report: Report) {
-        let Some(owed) = self.wal.owed().get(&text.0) else { return };
-        let id = owed.info.id.clone();
-        let (dest, submits) = (owed.info.dest, owed.submits());
-        let left = Moment::from_millis(owed.info.until_ms).since(self.clock.now()).as_millis();
+        let Some(unfinished) = self.journal.outstanding().get(&text.0) else { return };
+        let id = unfinished.info.id.clone();
+        let (dest, submits) = (unfinished.info.dest, unfinished.submits());
+        let left = Moment::from_millis(unfinished.info.until_ms).since(self.clock.now()).as_millis();
         let how = if matches!(report, Report::Undeliverable) { "undeliverable" } else { "nacked" };
         log_account!(text = text.0, dest, submits, left; "{how}");
         match report {
@@ -1011,23 +1036,23 @@
                 log_decision!(text = id, dest, submits, again_ms, reason = "no capacity within its validity period"; "nacked");
             }
             Report::Undeliverable => {
-                let reason = match owed.is_in_doubt() {
+                let reason = match unfinished.is_in_doubt() {
                     true => "a submit may have run and no other can be made in time",
                     false => "validity period over or submits used up",
                 };
                 log_decision!(text = id, dest, submits, reason; "undeliverable");
             }
         }
-        self.wal.ended(text.0, Some(report));
+        self.journal.record_end(text.0, Some(report));
         self.pending_notices.push(Notice { text, id, report });
     }
 
     /// Writes the decisions to the journal, then answers clients and operators and sends reports. Returns whether the write
     /// succeeded.
     fn flush(&mut self) -> bool {
-        let compactions = self.wal.compactions;
-        let flushed = self.wal.flush();
-        self.counters.compactions.add(self.wal.compactions - compactions);
+        let compactions = self.journal.compactions;
+        let flushed = self.journal.flush();
+        self.counters.compactions.add(self.journal.compactions - compactions);
         if let Err(e) = &flushed {
             log!("the log can't be written: {e}");
         }
@@ -1038,14 +1063,17 @@
                 }
                 continue;
             }
-            let Some(owed) = self.wal.owed().get(&text.0) else { continue };
-            let key = owed.info.key.clone();
-            self.ids.remove(&owed.info.id);
-            let answer =
-                if self.wal.may_be_found(text.0) { Admission::Indeterminate } else { Admission::Full };
+            let Some(unfinished) = self.journal.outstanding().get(&text.0) else { continue };
+            let key = unfinished.info.key.clone();
+            self.ids.remove(&unfinished.info.id);
+            let answer = if self.journal.may_be_recovered(text.0) {
+                Admission::Indeterminate
+            } else {
+                Admission::Full
+            };
             self.mark_answered(text, answer);
             key.iter().for_each(|key| self.keys.release(key));
-            self.wal.forget(text.0);
+            self.journal.abandon(text.0);
             self.pass_in_key_order(text, key.as_deref(), None);
             self.counters.turned_away.add(1);
             _ = reply.try_send(answer);
@@ -1064,11 +1092,12 @@
             return;
         }
         let now = self.clock.now();
-        let may_go = |notice: &mut Notice| {
-            let owed = self.wal.owed().get(&notice.text.0);
-            written || owed.is_none_or(|owed| now >= Moment::from_millis(owed.info.until_ms))
+        let can_send = |notice: &mut Notice| {
+            let unfinished = self.journal.outstanding().get(&notice.text.0);
+            written
+                || unfinished.is_none_or(|unfinished| now >= Moment::from_millis(unfinished.info.until_ms))
         };
-        for notice in self.pending_notices.extract_if(.., may_go) {
+        for notice in self.pending_notices.extract_if(.., can_send) {
             // The actor's mailbox has room for as many notices as there can be texts, so it is never full.
             if self.notices.try_send(notice).is_err() {
                 log!("the notices actor has ended; a report is lost");
@@ -1081,22 +1110,22 @@
     }
 
     fn send_call(&mut self, endpoint: EndpointId, call: Call) {
-        let Some(place) = self.endpoints.get(endpoint) else { return self.report_not_sent(endpoint, call) };
-        if place.peer.is_none()
-            && let Some(address) = place.address
+        let Some(entry) = self.endpoints.get(endpoint) else { return self.report_not_sent(endpoint, call) };
+        if entry.peer.is_none()
+            && let Some(address) = entry.address
         {
             let (own, asks) = bounded(self.limits.peer_mailbox);
             let peer = Peer { endpoint, address, trunk: Arc::clone(&self.trunk), own: own.clone() };
             match threads::spawn("peer", self.limits.stack, move || peer.run(asks)) {
-                Ok(_) => place.peer = Some(own),
-                Err(e) => log!("can't start a thread for {}: {e}", place.name),
+                Ok(_) => entry.peer = Some(own),
+                Err(e) => log!("can't start a thread for {}: {e}", entry.name),
             }
         }
         self.counters.calls.add(1);
-        let Some(peer) = &place.peer else { return self.report_not_sent(endpoint, call) };
+        let Some(peer) = &entry.peer else { return self.report_not_sent(endpoint, call) };
         if let Err(lost) = peer.try_send(peer::Ask::Call(Box::new(call.to(endpoint, &self.trunk)))) {
             if lost.is_disconnected() {
-                place.peer = None;
+                entry.peer = None;
             }
             if let peer::Ask::Call(call) = lost.into_inner() {
                 self.report_not_sent(endpoint, *call);
@@ -1105,15 +1134,15 @@
     }
 
     fn submit_ended(&mut self, text: TextId, submit: usize) {
-        let place = self.in_flight.remove(&(text, submit)).and_then(|endpoint| self.endpoints.get(endpoint));
-        place.into_iter().for_each(|place| place.submit_ended());
+        let entry = self.in_flight.remove(&(text, submit)).and_then(|endpoint| self.endpoints.get(endpoint));
+        entry.into_iter().for_each(|entry| entry.submit_ended());
     }
 
     /// Reports the submits of a call that was not sent as never run.
     fn report_not_sent(&mut self, endpoint: EndpointId, call: Call) {
         for part in call.into_parts() {
             self.submit_ended(part.text, part.submit);
-            self.wal.never_ran(part.text.0, part.submit);
+            self.journal.record_never_ran(part.text.0, part.submit);
             self.counters.not_sent.add(1);
             self.pending_events.push(Event::Outcome(Outcome {
                 text: part.text,
