--- a/crates/sender/src/decider.rs
+++ b/crates/sender/src/decider.rs
@@ -11,8 +11,8 @@
 use crate::handover::{HandoverState, SuccessorWatch};
 use crate::intake::Intake;
 use crate::limits::Limits;
-use crate::list::{self, Listed, Listing};
-use crate::list_file::ListKeeper;
+use crate::list::{self, EndpointList, ListedEndpoint};
+use crate::list_file::ListSaver;
 use crate::notices::Notice;
 use crate::ordering_keys::OrderingKeys;
 use crate::peer::{self, Peer, Trunk};
@@ -78,9 +78,9 @@
     RequestAbandoned(Receiver<Admission>),
     Outcome(Outcome),
     /// An answer of the discovery; `None` if the request failed.
-    Listed(Option<Listing>),
+    Listed(Option<EndpointList>),
     /// Endpoints that drain or are gone, from an incomplete answer that says nothing else about the list.
-    Drained(Vec<Listed>),
+    Drained(Vec<ListedEndpoint>),
     /// `until` is when the lease of the list in force ends, `as_of` the time for which the list is complete, and `failed`
     /// whether a request has failed since.
     ListLease {
@@ -154,18 +154,18 @@
 pub struct Decider {
     pub clock: Clock,
     /// Stores the endpoint list for the next start; `None` if no platform supplies it.
-    pub list_keeper: Option<ListKeeper>,
+    pub list_saver: Option<ListSaver>,
     pub limits: Arc<Limits>,
     pub counters: Arc<Counters>,
     pub figures: Arc<Figures>,
     pub site: Arc<InForce>,
     pub table: ProductTable,
     pub trunk: Arc<Trunk>,
-    pub list: Sender<list::Ask>,
+    pub list: Sender<list::ListRequest>,
     pub notices: Sender<Notice>,
     pub journal: TextJournal,
     pub seed: u64,
-    pub known: Listing,
+    pub known: EndpointList,
     /// The state of the previous process, if it handed over in order.
     pub handover_state: Option<HandoverState>,
     /// Set if another process may take over.
@@ -182,7 +182,7 @@
 
 struct RunningDecider {
     clock: Clock,
-    list_keeper: Option<ListKeeper>,
+    list_saver: Option<ListSaver>,
     limits: Arc<Limits>,
     counters: Arc<Counters>,
     figures: Arc<Figures>,
@@ -192,7 +192,7 @@
     /// End counters by [`ProductId`].
     ends: Vec<Arc<Ends>>,
     trunk: Arc<Trunk>,
-    list: Sender<list::Ask>,
+    list: Sender<list::ListRequest>,
     notices: Sender<Notice>,
     journal: TextJournal,
     rules: Rules,
@@ -246,7 +246,7 @@
         let (seed, mut known, mut revision) = (self.seed, self.known.members, Some(self.known.revision));
         let (rules, endpoints, ids, dests, keys) = match self.handover_state {
             Some(handover_state) => {
-                let listed = |one: &&(EndpointId, Listed)| one.1.condition != Condition::Deleted;
+                let listed = |one: &&(EndpointId, ListedEndpoint)| one.1.condition != Condition::Deleted;
                 known = handover_state.endpoints.iter().filter(listed).map(|(_, one)| one.clone()).collect();
                 revision = handover_state.revision;
                 let HandoverState { endpoints, next_endpoint, dests, keys, next_key, ids, learnt, .. } =
@@ -272,7 +272,7 @@
         };
         let mut decider = RunningDecider {
             clock: self.clock,
-            list_keeper: self.list_keeper,
+            list_saver: self.list_saver,
             limits: self.limits,
             counters: self.counters,
             figures: self.figures,
@@ -523,20 +523,20 @@
             }
             Message::Listed(Some(listing)) => {
                 self.revision = Some(listing.revision);
-                self.list_keeper.iter_mut().for_each(|keeper| keeper.told(listing.revision));
+                self.list_saver.iter_mut().for_each(|saver| saver.record_revision(listing.revision));
                 let scope = if listing.complete { Scope::Complete } else { Scope::Partial };
                 self.apply_list(scope, listing.members);
             }
             Message::Drained(members) => {
                 self.apply_list(Scope::Partial, members);
-                self.list_keeper.iter_mut().for_each(|keeper| keeper.keep(self.endpoints.serving()));
+                self.list_saver.iter_mut().for_each(|saver| saver.save(self.endpoints.serving()));
             }
             Message::ListLease { until, as_of, failed } => {
                 self.pending_events.push(Event::ListLease(until));
-                if let Some(keeper) = &mut self.list_keeper
-                    && keeper.confirmed(as_of, failed)
+                if let Some(saver) = &mut self.list_saver
+                    && saver.record_confirmation(as_of, failed)
                 {
-                    keeper.keep(self.endpoints.serving());
+                    saver.save(self.endpoints.serving());
                 }
             }
             Message::Listed(None) => {
@@ -860,7 +860,7 @@
         }
     }
 
-    fn apply_list(&mut self, scope: Scope, members: Vec<Listed>) {
+    fn apply_list(&mut self, scope: Scope, members: Vec<ListedEndpoint>) {
         let mut entries = Vec::new();
         let mut listed = BTreeSet::new();
         let out: Vec<String> = self.out_of_service().map(str::to_owned).collect();
@@ -961,8 +961,8 @@
                     asks.extend(out.map(|endpoint| (*endpoint, peer::Ask::Withhold((text, submit)))));
                 }
                 Action::CloseIdle { endpoint } => asks.push((endpoint, peer::Ask::CloseIdle)),
-                Action::Subscribe { on } => _ = self.list.try_send(list::Ask::Watch(on)),
-                Action::ReadList => _ = self.list.try_send(list::Ask::Read),
+                Action::Subscribe { on } => _ = self.list.try_send(list::ListRequest::Watch(on)),
+                Action::ReadList => _ = self.list.try_send(list::ListRequest::Read),
                 Action::WakeAt(at) => self.wake_at = Some(at),
                 Action::Log(note) => log!("{note}"),
                 // This protocol has neither probes nor messages between senders.
