--- a/crates/sender/src/endpoint_table.rs
+++ b/crates/sender/src/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoints that the list has named, by name and by the small index under which the decisions know them.
+//! The endpoints that the list has named, by name and by the small index that the rules use for them.
 
 use crate::list::ListedEndpoint;
 use crate::peer::Ask;
@@ -8,6 +8,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+/// What is known of one endpoint, and the actor that holds its connections.
 pub struct EndpointEntry {
     pub name: String,
     pub address: Option<SocketAddr>,
@@ -16,18 +17,20 @@
     pub dest: u64,
     pub units: f64,
     pub condition: Condition,
+    /// The actor that gets new calls; `None` until the first call.
     pub peer: Option<Sender<Ask>>,
-    /// Those that get no call any more but may still have some out, which what is decided from now on has to reach.
+    /// Actors that get no new calls but may have some in flight, for which later requests still have to reach them.
     retired_peers: Vec<Sender<Ask>>,
-    /// What their full mailboxes had no room for.
+    /// Requests that found the mailbox of their actor full.
     queued: VecDeque<(Sender<Ask>, Ask)>,
     /// Submits without an outcome.
     pub in_flight: usize,
+    /// Since when the list no longer names the endpoint.
     unlisted_since: Option<Instant>,
 }
 
 impl EndpointEntry {
-    /// Its connections end as they come to rest.
+    /// Has the current actor close its connections once they are idle; the next call starts another actor.
     fn retire(&mut self) {
         if let Some(peer) = self.peer.take() {
             self.send(peer.clone(), Ask::Retire);
@@ -37,7 +40,7 @@
         }
     }
 
-    /// One of its submits has its outcome.
+    /// Counts the outcome of one submit.
     pub fn submit_ended(&mut self) {
         self.in_flight -= 1;
         if self.in_flight == 0 {
@@ -45,7 +48,7 @@
         }
     }
 
-    /// Asks of one peer stay in order.
+    /// Sends a request, or queues it behind those already queued for the same actor, so that their order is kept.
     fn send(&mut self, peer: Sender<Ask>, ask: Ask) {
         if self.queued.iter().any(|(other, _)| other.same_channel(&peer)) {
             self.queued.push_back((peer, ask));
@@ -61,20 +64,21 @@
     }
 }
 
-/// Endpoints change for good: one that has been off the list for long is forgotten, once nothing is out to it. An
-/// index never comes twice, so no late word can meet another endpoint under it.
+/// The endpoints known to the sender. An endpoint that has been off the list for long is removed once it has no submits in
+/// flight, since endpoints come and go for good. An index is never used again, so that a late message can't apply to
+/// another endpoint.
 #[derive(Default)]
 pub struct EndpointTable {
     by_name: BTreeMap<String, EndpointId>,
     entries: BTreeMap<EndpointId, EndpointEntry>,
     next: usize,
     unlisted: VecDeque<(Instant, EndpointId)>,
-    /// Those with asks that found a full mailbox.
+    /// Endpoints with queued requests.
     with_queued: BTreeSet<EndpointId>,
 }
 
 impl EndpointTable {
-    /// The entry of an entry of the list, which is on it from now on.
+    /// Adds or updates the endpoint of a list entry and marks it as listed.
     pub fn upsert(&mut self, member: &ListedEndpoint) -> (EndpointId, &mut EndpointEntry) {
         let next = EndpointId(self.next);
         let at = *self.by_name.entry(member.name.clone()).or_insert(next);
@@ -82,7 +86,7 @@
             self.next += 1;
         }
         let ListedEndpoint { kind, zone, dest, units, condition, .. } = *member;
-        let new = || {
+        let new_entry = || {
             let name = member.name.clone();
             EndpointEntry {
                 name,
@@ -99,33 +103,33 @@
                 unlisted_since: None,
             }
         };
-        let entry = self.entries.entry(at).or_insert_with(new);
+        let entry = self.entries.entry(at).or_insert_with(new_entry);
         entry.unlisted_since = None;
         (entry.units, entry.condition) = (units, condition);
         (at, entry)
     }
 
-    /// The names of those that serve by the list.
+    /// Names of the endpoints that the list has as running.
     pub fn serving(&self) -> impl Iterator<Item = &str> {
         let is_serving =
             |entry: &&EndpointEntry| entry.condition == Condition::Running && entry.unlisted_since.is_none();
         self.entries.values().filter(is_serving).map(|entry| entry.name.as_str())
     }
 
-    /// What the list said last of the endpoint of this name, as far as it is known.
+    /// The last listed condition of the endpoint with this name, if it is known.
     pub fn condition(&self, name: &str) -> Option<Condition> {
         let entry = self.by_name.get(name).and_then(|at| self.entries.get(at));
         entry.map(|entry| entry.condition)
     }
 
-    /// Whether an endpoint of this name is known that belonged elsewhere: to another destination, kind or zone. It is over
-    /// then, and what the list names is another one, which gets an index of its own.
+    /// If the known endpoint of this name has another destination, kind or zone, the list entry is a different endpoint. The
+    /// known one then loses its name, is marked as unlisted and returned, and the new one gets an index of its own.
     pub fn remove_if_replaced(&mut self, member: &ListedEndpoint) -> Option<EndpointId> {
         let at = *self.by_name.get(&member.name)?;
         let entry = self.entries.get(&at)?;
-        let same = (entry.dest, entry.kind, entry.zone) == (member.dest, member.kind, member.zone);
-        // What is gone may be named without its particulars.
-        if same || member.condition == Condition::Deleted {
+        let is_same = (entry.dest, entry.kind, entry.zone) == (member.dest, member.kind, member.zone);
+        // The entry of a deleted endpoint may lack these fields.
+        if is_same || member.condition == Condition::Deleted {
             return None;
         }
         self.by_name.remove(&member.name);
@@ -133,7 +137,7 @@
         Some(at)
     }
 
-    /// All of them, for the process that takes this one's entry; deleted are those that the list names no more.
+    /// All endpoints and the next index, for a successor process. Endpoints off the list are given as deleted.
     pub fn snapshot(&self) -> (Vec<(EndpointId, ListedEndpoint)>, usize) {
         let listed = |entry: &EndpointEntry| {
             let EndpointEntry { address, dest, kind, zone, units, .. } = *entry;
@@ -143,20 +147,20 @@
         (self.entries.iter().map(|(at, entry)| (*at, listed(entry))).collect(), self.next)
     }
 
-    /// Those of the process before, under their indices. What is listed of them is told anew.
+    /// Restores the endpoints of the previous process under their indices. The rules are told of the listed ones again.
     pub fn successor(known: Vec<(EndpointId, ListedEndpoint)>, next: usize) -> EndpointTable {
         let mut table = EndpointTable { next, ..EndpointTable::default() };
-        for (at, one) in known {
-            table.by_name.insert(one.name.clone(), at);
-            table.upsert(&one).1.address = one.address;
-            if one.condition == Condition::Deleted {
+        for (at, listed) in known {
+            table.by_name.insert(listed.name.clone(), at);
+            table.upsert(&listed).1.address = listed.address;
+            if listed.condition == Condition::Deleted {
                 table.mark_unlisted(at);
             }
         }
         table
     }
 
-    /// The connections of an endpoint end as they come to rest; a later call opens new ones.
+    /// Has the connections of an endpoint closed once they are idle; a later call opens new ones.
     pub fn retire(&mut self, at: EndpointId) {
         if let Some(entry) = self.entries.get_mut(&at) {
             entry.retire();
@@ -166,8 +170,8 @@
         }
     }
 
-    /// Asks whoever has calls out to an endpoint, or connections at rest. What is lost of that goes out to one that the
-    /// list has just said drains, so a mailbox that is full is asked again.
+    /// Sends a request to all actors with calls in flight or idle connections to an endpoint. If one were lost, calls could
+    /// still go to an endpoint that the list has just marked as draining, so a request to a full mailbox is sent again.
     pub fn send_to_peers(&mut self, at: EndpointId, ask: Ask) {
         let Some(entry) = self.entries.get_mut(&at) else { return };
         let peers: Vec<_> = entry.peer.iter().chain(&entry.retired_peers).cloned().collect();
@@ -175,7 +179,7 @@
             let ask = match ask {
                 Ask::Revoke(submit) => Ask::Revoke(submit),
                 Ask::Withhold(submit) => Ask::Withhold(submit),
-                // What rests at one that is retired is ended already.
+                // Retired actors close their idle connections already.
                 _ => Ask::CloseIdle,
             };
             entry.send(peer, ask);
@@ -185,7 +189,7 @@
         }
     }
 
-    /// Asks again what found mailboxes full.
+    /// Sends again the requests that found a full mailbox.
     pub fn resend_queued(&mut self) {
         for at in std::mem::take(&mut self.with_queued) {
             let Some(entry) = self.entries.get_mut(&at) else { continue };
@@ -196,14 +200,17 @@
         }
     }
 
+    /// The endpoint with this index.
     pub fn get(&mut self, at: EndpointId) -> Option<&mut EndpointEntry> {
         self.entries.get_mut(&at)
     }
 
+    /// The indices of all known endpoints.
     pub fn ids(&self) -> Vec<EndpointId> {
         self.entries.keys().copied().collect()
     }
 
+    /// Marks an endpoint as no longer listed and has its connections closed once they are idle.
     pub fn mark_unlisted(&mut self, at: EndpointId) {
         self.retire(at);
         if let Some(entry) = self.entries.get_mut(&at).filter(|entry| entry.unlisted_since.is_none()) {
@@ -213,10 +220,10 @@
         }
     }
 
-    /// Forgets those that have been off the list for so long.
+    /// Removes endpoints that have been off the list for longer than `after` and have no submits in flight.
     pub fn remove_expired(&mut self, after: Duration) {
         while self.unlisted.front().is_some_and(|(since, _)| since.elapsed() > after) {
-            let (since, at) = self.unlisted.pop_front().expect("looked at");
+            let (since, at) = self.unlisted.pop_front().expect("front was checked");
             match self.entries.get_mut(&at).filter(|entry| entry.unlisted_since == Some(since)) {
                 Some(entry) if entry.in_flight > 0 => {
                     let now = Instant::now();
@@ -234,19 +241,22 @@
         }
     }
 
-    /// Those that the list names now.
+    /// The indices of the endpoints that the list names at present.
     pub fn listed(&self) -> impl Iterator<Item = EndpointId> {
         self.entries.iter().filter(|(_, entry)| entry.unlisted_since.is_none()).map(|(at, _)| *at)
     }
 
+    /// The index of the endpoint with this name.
     pub fn find(&self, name: &str) -> Option<EndpointId> {
         self.by_name.get(name).copied()
     }
 
+    /// The number of known endpoints, listed or not.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
+    /// Whether no endpoint is known.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -1,8 +1,8 @@
-//! How one process of a sender takes the place of another: locks, the passed socket, and what the old one leaves.
+//! Handover from one process of a sender to its successor: locks, the inherited socket and the state file.
 //!
-//! The steps are those of [`indigomast_handover`]; this is what they look like on a Unix system. The old process sees that
-//! a successor waits by a lock on a file of its own; owning is the lock on the journal. What the old one has learnt
-//! goes over in a file that is written and read under that lock only.
+//! This implements the steps of [`indigomast_handover`] on Unix. A waiting successor locks a file for that purpose, which
+//! the old process checks; the owner is the process that holds the lock on the journal. The old process passes its state
+//! in a file that is written and read only under the journal's lock.
 
 use crate::list::ListedEndpoint;
 use crate::whole_file::{Lasting, replace};
@@ -17,49 +17,50 @@
 use std::time::{Duration, Instant};
 
 const SUCCESSOR_LOCK_FILE: &str = "next";
-// The file keeps the name that earlier versions look for.
+// Earlier versions look for the state under this name.
 const STATE_FILE: &str = "estate";
 
-/// Before the checksum: which form the rest has. A successor of another form starts as after a kill.
+/// Format version of the state file, stored before the checksum. A successor with another format ignores the state and
+/// starts as after a kill.
 const FORMAT: u32 = 1;
 
-/// The socket for clients that whoever starts processes holds for all of them.
+/// The listening socket for clients that the parent process passes to each process it starts, by descriptor number.
 ///
 /// # Errors
 ///
-/// The number is none of a listening socket of this process.
+/// The number is not that of a listening socket of this process.
 pub fn passed_socket(number: &str) -> Result<TcpListener, String> {
-    let complain = |what: String| format!("{number:?}: {what}");
+    let error = |what: String| format!("{number:?}: {what}");
     let fd: Option<i32> = number.trim().parse().ok().filter(|fd| *fd >= 0);
-    let fd = fd.ok_or_else(|| complain("is no descriptor".into()))?;
-    // The standard library takes over a bare number only where nobody can check it; this asks the kernel for a copy.
-    let own = pidfd_open(getpid(), PidfdFlags::empty()).map_err(|e| complain(e.to_string()))?;
-    let copy = pidfd_getfd(own, fd, PidfdGetfdFlags::empty()).map_err(|e| complain(e.to_string()))?;
+    let fd = fd.ok_or_else(|| error("is not a file descriptor".into()))?;
+    // The standard library takes a raw descriptor only in unsafe code; the kernel can duplicate it instead.
+    let own = pidfd_open(getpid(), PidfdFlags::empty()).map_err(|e| error(e.to_string()))?;
+    let copy = pidfd_getfd(own, fd, PidfdGetfdFlags::empty()).map_err(|e| error(e.to_string()))?;
     if !rustix::net::sockopt::socket_acceptconn(&copy).unwrap_or(false) {
-        return Err(complain("nobody listens on it".into()));
+        return Err(error("is not a listening socket".into()));
     }
-    // Another process may take what this one was woken for.
+    // Another process may accept the connection for which this one was woken.
     let listener = TcpListener::from(copy);
-    listener.set_nonblocking(true).map_err(|e| complain(e.to_string()))?;
+    listener.set_nonblocking(true).map_err(|e| error(e.to_string()))?;
     Ok(listener)
 }
 
-/// The lock by which a successor says that it waits. Given back when it is dropped, or by the end of the process.
+/// The lock that shows that a successor waits. It is released when dropped or when the process ends.
 pub struct SuccessorLock(#[expect(dead_code, reason = "held, not read")] File);
 
-fn next_file(folder: &Path) -> io::Result<File> {
+fn open_lock_file(folder: &Path) -> io::Result<File> {
     OpenOptions::new().create(true).truncate(false).write(true).open(folder.join(SUCCESSOR_LOCK_FILE))
 }
 
 impl SuccessorLock {
-    /// `None` while another waits, or while the owner looks.
+    /// Takes the lock; `None` while another successor holds it or the owner checks it.
     pub fn try_acquire(folder: &Path) -> io::Result<Option<SuccessorLock>> {
-        let file = next_file(folder)?;
+        let file = open_lock_file(folder)?;
         Ok(file.try_lock().is_ok().then_some(SuccessorLock(file)))
     }
 }
 
-/// The owner's look at that lock.
+/// The owner's periodic check of [`SuccessorLock`].
 pub struct SuccessorWatch {
     file: File,
     interval: Duration,
@@ -68,15 +69,16 @@
 }
 
 impl SuccessorWatch {
+    /// A check of the lock file in `folder` that is made at most once per `interval`.
     pub fn new(folder: &Path, interval: Duration) -> io::Result<SuccessorWatch> {
-        Ok(SuccessorWatch { file: next_file(folder)?, interval, checked_at: None, waiting: false })
+        Ok(SuccessorWatch { file: open_lock_file(folder)?, interval, checked_at: None, waiting: false })
     }
 
-    /// Whether a successor waits, as of the last look; one is taken every interval.
+    /// Whether a successor waited at the last check; checks again once the interval has passed.
     pub fn successor_waits(&mut self) -> bool {
         if self.checked_at.is_none_or(|checked_at| checked_at.elapsed() >= self.interval) {
             self.checked_at = Some(Instant::now());
-            // Shared, so that it stands in nobody's way for longer than this.
+            // A shared lock, released at once, so that it hardly delays a successor.
             self.waiting = self.file.try_lock_shared().is_err();
             if !self.waiting {
                 _ = self.file.unlock();
@@ -86,42 +88,42 @@
     }
 }
 
-/// All that a process knows beside the journal, under the indices that it has given.
+/// What a process passes to its successor beside the journal, under the indices that it has assigned.
 #[derive(Serialize, Deserialize)]
 pub struct HandoverState {
-    /// In their order in the settings, which the indices below count.
+    /// Names of kinds and zones in the order of the settings; the indices below refer to them.
     pub kinds: Vec<String>,
     pub zones: Vec<String>,
-    /// Of the list, if it came from the discovery that is in force.
+    /// Revision of the list, if it came from the discovery in force.
     pub revision: Option<u64>,
-    /// As the list named each last; deleted is what it names no more.
+    /// Endpoints as last listed; those off the list are given as deleted.
     pub endpoints: Vec<(EndpointId, ListedEndpoint)>,
     pub next_endpoint: usize,
     pub dests: Vec<u64>,
     pub keys: Vec<(String, usize)>,
     pub next_key: usize,
-    /// Ids of texts that are over: form, whether it was proven, and for how many milliseconds.
+    /// Ids of finished texts, each with its fingerprint, whether its connection was proven, and the milliseconds since the end.
     pub ids: Vec<(String, u32, bool, f64)>,
     pub learnt: LearnedState,
 }
 
 impl HandoverState {
-    /// Leaves it to the next owner.
+    /// Writes the state for the next owner.
     pub fn write(&self, folder: &Path) -> io::Result<()> {
         let payload = postcard::to_stdvec(self).map_err(io::Error::other)?;
-        let head = [FORMAT.to_le_bytes(), crc32fast::hash(&payload).to_le_bytes()].concat();
-        replace(folder, STATE_FILE, &[head, payload].concat(), Lasting::Process)
+        let header = [FORMAT.to_le_bytes(), crc32fast::hash(&payload).to_le_bytes()].concat();
+        replace(folder, STATE_FILE, &[header, payload].concat(), Lasting::Process)
     }
 
-    /// Takes what the last owner left, if it left in order and to a process like this one.
+    /// Reads and removes the state of the last owner. `None` if it left no valid state in this format.
     pub fn take(folder: &Path) -> Option<HandoverState> {
         let path = folder.join(STATE_FILE);
         let bytes = fs::read(&path).ok()?;
-        // Whatever becomes of it, it is of no use a second time.
+        // The state is removed even if it can't be read, since it is valid only once.
         remove(path);
-        let word = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
+        let read_u32 = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
         let payload = bytes.get(8..)?;
-        (word(0)? == FORMAT && word(4)? == crc32fast::hash(payload)).then_some(())?;
+        (read_u32(0)? == FORMAT && read_u32(4)? == crc32fast::hash(payload)).then_some(())?;
         postcard::from_bytes(payload).ok()
     }
 }
--- a/crates/sender/src/ordering_keys.rs
+++ b/crates/sender/src/ordering_keys.rs
@@ -1,15 +1,15 @@
-//! The keys of texts that go in turn, by the small indices under which the decisions know them.
+//! Ordering keys of texts, by the small indices that the rules use for them.
 
 use indigomast::api::KeyId;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Keys as indices, forgotten once no text has them; an index never comes twice.
+/// Maps ordering keys to indices. A key is removed some time after its last text; an index is never used again.
 #[derive(Default)]
 pub struct OrderingKeys {
     known: BTreeMap<String, KnownKey>,
     next: usize,
-    /// Keys left without texts, which the decisions may still let rest.
+    /// Keys without texts, which the rules may still pause.
     idle: VecDeque<(Instant, String)>,
 }
 
@@ -20,7 +20,7 @@
 }
 
 impl OrderingKeys {
-    /// Those of the process before, under their indices.
+    /// Restores the keys of the previous process under their indices.
     pub fn successor(snapshot: Vec<(String, usize)>, next: usize) -> OrderingKeys {
         let idle_since = Instant::now();
         let idle = snapshot.iter().map(|(key, _)| (idle_since, key.clone())).collect();
@@ -29,7 +29,7 @@
         OrderingKeys { known: known.collect(), next, idle }
     }
 
-    /// One more text has this key.
+    /// Counts one more text with this key.
     pub fn acquire(&mut self, key: &str) -> KeyId {
         let known = self.known.entry(key.to_owned()).or_insert_with(|| {
             self.next += 1;
@@ -39,7 +39,7 @@
         known.id
     }
 
-    /// One text less has this key.
+    /// Counts one text less with this key.
     pub fn release(&mut self, key: &str) {
         if let Some(known) = self.known.get_mut(key) {
             known.texts -= 1;
@@ -50,22 +50,22 @@
         }
     }
 
-    /// Forgets those that no text has had for so long.
+    /// Removes keys that have had no text for longer than `after`.
     pub fn remove_expired(&mut self, after: Duration) {
         while self.idle.front().is_some_and(|(since, _)| since.elapsed() > after) {
-            let (since, key) = self.idle.pop_front().expect("looked at");
+            let (since, key) = self.idle.pop_front().expect("front was checked");
             if self.known.get(&key).is_some_and(|known| known.texts == 0 && known.idle_since == since) {
                 self.known.remove(&key);
             }
         }
     }
 
-    /// The index of a key that texts have, or had lately.
+    /// The index of a key, if it has texts or had some recently.
     pub fn find(&self, key: &str) -> Option<KeyId> {
         self.known.get(key).map(|known| known.id)
     }
 
-    /// All of them and the next index, for the process that takes this one's place.
+    /// All keys with their indices and the next index, for a successor process.
     pub fn snapshot(&self) -> (Vec<(String, usize)>, usize) {
         (self.known.iter().map(|(key, known)| (key.clone(), known.id.0)).collect(), self.next)
     }
--- a/crates/sender/src/product_table.rs
+++ b/crates/sender/src/product_table.rs
@@ -1,9 +1,9 @@
-//! Terms of products: what a product's name stood for when a text was taken on under it.
+//! Product settings by version: what a product's name meant when a text was accepted under it.
 //!
-//! Settings change while texts are at hand, and each text keeps the terms under which it was taken on, also in the next
-//! life. So a text carries a reference, not a name: the name alone as long as a product has always had the same settings,
-//! and the name with a number behind it once they changed. A reference never changes its meaning, nor does the index that
-//! the decisions have of it; both are forgotten at a start at which no text has them.
+//! Settings change while texts are unfinished, and each text keeps the settings under which it was accepted, also after a
+//! restart. So a text carries a reference instead of a name: the name alone for the first version of a product's settings,
+//! and the name with a number for each later version. Neither the meaning of a reference nor its index in the rules ever
+//! changes; both are dropped at a start at which no text uses them.
 
 use indigomast::api::{Product, ProductId, Repeat};
 use indigomast::time::Span;
@@ -11,15 +11,17 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Between a name and its number. No product's name has it: the name is one part of a path.
-const MARK: char = '/';
+/// Separates the name from the version number. No product's name contains it, since a name is one segment of a path.
+const VERSION_SEPARATOR: char = '/';
 
+/// One version of a product's settings, as stored in the journal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProductSettings {
     pub name: String,
     sla_ms: f64,
-    /// Of a referenced product the memory, and whether only one zone has it.
     once_only: bool,
+    /// Only of a referenced product: how long receivers remember a text, in milliseconds, and whether that memory is shared
+    /// within one zone only.
     memory: Option<(f64, bool)>,
     in_order: bool,
     submits: usize,
@@ -54,81 +56,87 @@
     }
 }
 
-/// All terms that texts at hand may have, each at the index that the decisions know it by.
+/// All product settings that unfinished texts may have, each at the index that the rules use.
 #[derive(Default)]
 pub struct ProductTable {
     rows: Vec<(String, ProductSettings)>,
-    /// Looked up with every text.
+    /// Row by reference; looked up for every text.
     index: BTreeMap<String, usize>,
 }
 
 impl ProductTable {
+    /// A table with these references and settings, in the order of their indices.
     pub fn new(rows: Vec<(String, ProductSettings)>) -> ProductTable {
         let index = rows.iter().enumerate().map(|(at, (reference, _))| (reference.clone(), at)).collect();
         ProductTable { rows, index }
     }
 
-    /// Takes the products of settings that are put in force; the index of each, in their order.
+    /// Adds the products of new settings where they differ from all rows; returns the index of each, in their order.
     pub fn add_from(&mut self, info: &BootInfo) -> Vec<ProductId> {
         let products = info.decode().products;
-        let taken = info.categories.iter().zip(&products).map(|(category, product)| {
+        let ids = info.categories.iter().zip(&products).map(|(category, product)| {
             let settings = ProductSettings::of(&category.name, product);
             if let Some(at) = self.rows.iter().position(|(_, row)| *row == settings) {
                 return ProductId(at);
             }
-            let numbers = self.rows.iter().filter(|(_, row)| row.name == category.name);
-            let last = numbers.filter_map(|(reference, _)| number(reference)).max();
+            let versions = self.rows.iter().filter(|(_, row)| row.name == category.name);
+            let last = versions.filter_map(|(reference, _)| version(reference)).max();
             let reference = match last {
-                Some(last) => format!("{}{MARK}{}", category.name, last + 1),
+                Some(last) => format!("{}{VERSION_SEPARATOR}{}", category.name, last + 1),
                 None => category.name.clone(),
             };
             self.index.insert(reference.clone(), self.rows.len());
             self.rows.push((reference, settings));
             ProductId(self.rows.len() - 1)
         });
-        taken.collect()
+        ids.collect()
     }
 
+    /// The number of rows.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
+    /// Whether there are no rows.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
+    /// The index of a reference.
     pub fn find(&self, reference: &str) -> Option<ProductId> {
         self.index.get(reference).copied().map(ProductId)
     }
 
+    /// The reference and settings at an index.
     pub fn row(&self, at: ProductId) -> &(String, ProductSettings) {
         &self.rows[at.0]
     }
 
+    /// All references and settings, by index.
     pub fn rows(&self) -> &[(String, ProductSettings)] {
         &self.rows
     }
 
-    /// As many as the table had at that length.
+    /// Removes all rows after the first `length`.
     pub fn truncate(&mut self, length: usize) {
         self.rows.truncate(length);
         self.index.retain(|_, at| *at < length);
     }
 
-    /// What the decisions read, by index.
+    /// The products as the rules take them, by index.
     pub fn products(&self) -> Vec<Product> {
         self.rows.iter().map(|(_, settings)| settings.product()).collect()
     }
 }
 
-fn number(reference: &str) -> Option<u64> {
-    match reference.rsplit_once(MARK) {
-        Some((_, number)) => number.parse().ok(),
+fn version(reference: &str) -> Option<u64> {
+    match reference.rsplit_once(VERSION_SEPARATOR) {
+        Some((_, version)) => version.parse().ok(),
         None => Some(1),
     }
 }
 
-/// The name of the product that a reference is of.
+/// The product name in a reference.
 pub fn product_name(reference: &str) -> &str {
-    reference.split(MARK).next().unwrap_or(reference)
+    reference.split(VERSION_SEPARATOR).next().unwrap_or(reference)
 }
--- a/crates/sender/src/request_ids.rs
+++ b/crates/sender/src/request_ids.rs
@@ -1,22 +1,22 @@
-//! The ids under which clients handed their texts in, those of texts that are over for a while longer.
+//! The request ids under which clients handed in their texts. Ids of finished texts are kept for some time.
 
 use indigomast::api::TextId;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// What an id stands for.
+/// What is known of a request id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownId {
-    /// None of one that is over.
+    /// `None` once the text is finished.
     pub text: Option<TextId>,
-    /// A checksum of all that is passed on: another form under the same id is another text.
+    /// A checksum of all that is passed on. Another checksum under the same id means another text.
     pub fingerprint: u32,
-    /// It came on a connection that had handed in texts before.
+    /// The client had handed in texts on the same connection before.
     pub proven: bool,
 }
 
-/// A client whose request crossed the end of its connection sends it once more, and the text may be over by then:
-/// it must not be taken for a new one and run again.
+/// Request ids of unfinished and recently finished texts. A client whose connection closed while it sent a request retries
+/// it, and the text may be finished by then; it must not be taken for a new text and run again.
 #[derive(Default)]
 pub struct RequestIds {
     known: BTreeMap<String, KnownId>,
@@ -24,20 +24,22 @@
 }
 
 impl RequestIds {
+    /// Records the id of an accepted text.
     pub fn insert(&mut self, id: String, text: TextId, fingerprint: u32, proven: bool) {
         self.known.insert(id, KnownId { text: Some(text), fingerprint, proven });
     }
 
-    /// What an id stands for; nothing where it is new.
+    /// What is known of an id; `None` if it is new.
     pub fn get(&self, id: &str) -> Option<KnownId> {
         self.known.get(id).copied()
     }
 
-    /// The text never came to be.
+    /// Removes the id of a text that was withdrawn or not accepted.
     pub fn remove(&mut self, id: &str) {
         self.known.remove(id);
     }
 
+    /// Marks the text of an id as finished; the id is kept until [`RequestIds::remove_expired`] drops it.
     pub fn mark_finished(&mut self, id: &str) {
         if let Some(known) = self.known.get_mut(id)
             && known.text.take().is_some()
@@ -46,7 +48,8 @@
         }
     }
 
-    /// Those that are over, for the process that takes this one's place: form, whether proven, and for how long.
+    /// Ids of finished texts for a successor process, each with its fingerprint, whether it is proven, and the milliseconds
+    /// since the end.
     pub fn finished(&self) -> Vec<(String, u32, bool, f64)> {
         let finished = self.finished.iter().filter_map(|(since, id)| {
             let known = self.known.get(id).filter(|known| known.text.is_none())?;
@@ -55,10 +58,11 @@
         finished.collect()
     }
 
-    pub fn successor(left: Vec<(String, u32, bool, f64)>) -> RequestIds {
+    /// Restores what [`RequestIds::finished`] returned in the previous process.
+    pub fn successor(finished: Vec<(String, u32, bool, f64)>) -> RequestIds {
         let mut ids = RequestIds::default();
         let now = Instant::now();
-        for (id, fingerprint, proven, ms) in left {
+        for (id, fingerprint, proven, ms) in finished {
             let since = Duration::try_from_secs_f64(ms / 1000.0).ok().and_then(|ago| now.checked_sub(ago));
             ids.known.insert(id.clone(), KnownId { text: None, fingerprint, proven });
             ids.finished.push_back((since.unwrap_or(now), id));
@@ -66,13 +70,13 @@
         ids
     }
 
-    /// Forgets those that have been over for long, or that are too many.
-    pub fn remove_expired(&mut self, after: Duration, most: usize) {
+    /// Removes ids of texts that finished longer ago than `after`, and the oldest ones beyond `max_finished`.
+    pub fn remove_expired(&mut self, after: Duration, max_finished: usize) {
         while self.finished.front().is_some_and(|(since, _)| since.elapsed() > after)
-            || self.finished.len() > most
+            || self.finished.len() > max_finished
         {
-            let (_, id) = self.finished.pop_front().expect("looked at");
-            // It may have been taken anew since.
+            let (_, id) = self.finished.pop_front().expect("front was checked");
+            // The id may have been accepted again since.
             if self.known.get(&id).is_some_and(|known| known.text.is_none()) {
                 self.known.remove(&id);
             }
