--- a/crates/sender/src/text_journal.rs
+++ b/crates/sender/src/text_journal.rs
@@ -1,13 +1,13 @@
-//! The journal in the folder that outlasts the process: what is owed, and what was sent for it.
+//! The durable journal of accepted texts and of the submits sent for them.
 //!
-//! Each text is an item of an [`indigomast_journal`]: it is begun when it is taken on, noted on with each submit, and
-//! closed when nothing more is owed for it. What the records say of the texts still at hand is kept in memory too.
-//! Notes say the same when they are read twice. The format is written down in `docs/journal.md`.
+//! Each text is an item of an [`indigomast_journal`]: opened when the text is accepted, annotated on each submit, and closed
+//! when no delivery and no report is outstanding. The state of all open items is also held in memory. Notes are idempotent,
+//! so replaying one twice is harmless. The format is documented in `docs/journal.md`.
 
 use crate::limits::Limits;
 use crate::log;
 use crate::product_table::ProductSettings;
-use crate::texts_log::{self, Carried};
+use crate::texts_log::{self, ImportedText};
 use indigomast::api::SubmitHistory;
 use indigomast::time::Moment;
 use indigomast_journal::{Entry, Folder, Journal, Key, Recovered, Settings, Store};
@@ -21,22 +21,23 @@
 
 const FOLDER: &str = "journal";
 
-const LOCK_PAUSE: Duration = Duration::from_millis(10);
+/// Pause between attempts to lock the journal folder.
+const LOCK_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Tags of notes.
+/// Tags that tell the kinds of notes on a text apart.
 const SUBMITTED: u8 = 1;
 const NEVER_RAN: u8 = 2;
 const ENDED: u8 = 3;
 
-/// A clock that is behind the last life's by no more than this was not set back. Far under what is kept clear of the end
-/// of a receiver's memory, which may be a second in all.
+/// A wall clock that lags the newest recorded time by no more than this does not count as set back. It is far below the margin
+/// kept before a receiver's deduplication memory expires, which may be one second in all.
 const CLOCK_SLACK_MS: f64 = 50.0;
 
-/// When a submit was sent of which only that is known that it was.
-const LONG_AGO_MS: f64 = 0.0;
+/// Send time assumed for a submit that is known to have been sent, but not when.
+const UNKNOWN_SEND_TIME_MS: f64 = 0.0;
 
-/// The least payload of a note on a submit; what damage swallowed holds no more of them than fit.
-const LEAST_SUBMITTED: usize = 1 + 8 + 1;
+/// The smallest payload of a note on a submit. It bounds how many such notes a damaged range can have held.
+const MIN_SUBMIT_NOTE: usize = 1 + 8 + 1;
 
 /// A text as its client handed it in. Times are Unix time in milliseconds.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
@@ -50,45 +51,45 @@
 }
 
 impl TextInfo {
-    /// A checksum of what a receiver is sent of a text, and of what its order hangs on.
+    /// A checksum of everything a receiver is sent of a text and of what decides its order.
     pub fn fingerprint(&self, body: &[u8]) -> u32 {
-        let mut sum = crc32fast::Hasher::new();
-        // Its terms may have changed between two tries of a client.
+        let mut hasher = crc32fast::Hasher::new();
+        // Only the product's name counts: its settings may change between two attempts of a client.
         let product = crate::product_table::product_name(&self.product);
         let parts = [Some(product), self.mark.as_deref(), self.key.as_deref()];
         for part in parts {
-            // Lengths keep "a" "bc" from passing for "ab" "c".
-            sum.update(&part.map_or(u64::MAX, |part| part.len() as u64).to_le_bytes());
-            sum.update(part.map_or(&[][..], |part| part.as_bytes()));
+            // Length prefixes distinguish "a", "bc" from "ab", "c".
+            hasher.update(&part.map_or(u64::MAX, |part| part.len() as u64).to_le_bytes());
+            hasher.update(part.map_or(&[][..], |part| part.as_bytes()));
         }
-        sum.update(&self.dest.to_le_bytes());
-        sum.update(body);
-        sum.finalize()
+        hasher.update(&self.dest.to_le_bytes());
+        hasher.update(body);
+        hasher.finalize()
     }
 }
 
-/// How a text that was not delivered ended.
+/// The final status of a text that was not delivered.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 pub enum Report {
     Nacked { again_ms: Option<f64> },
     Undeliverable,
 }
 
-/// When, and in which zone, a submit was sent.
+/// When a submit was sent, in Unix milliseconds, and to which zone.
 pub(crate) type SubmitOrigin = (f64, String);
 
-/// What the next life has to know of a text's submits. It takes the same room for one as for many.
+/// What a restarted process needs to know of a text's submits. Its size does not grow with their number.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct JournaledSubmits {
     pub submits: usize,
-    /// The first submit before the last that may have run.
+    /// The earliest submit, other than the last one, that may have run.
     pub doubt: Option<SubmitOrigin>,
-    /// The last submit, unless it is known that it never ran.
+    /// The last submit, unless it is known not to have run.
     pub last: Option<SubmitOrigin>,
 }
 
 impl JournaledSubmits {
-    /// The submit with this number, counted from 0; heard twice it counts once.
+    /// Records the submit with this number, counted from 0. Recording it again changes nothing.
     pub(crate) fn submitted(&mut self, submit: usize, at_ms: f64, zone: String) {
         if submit >= self.submits {
             self.submits = submit + 1;
@@ -97,7 +98,7 @@
         }
     }
 
-    /// An earlier submit than the last stays in doubt: too much doubt does no harm.
+    /// Clears the last submit if this is its number. An earlier one stays in doubt, which is the safe side.
     pub(crate) fn never_ran(&mut self, submit: usize) {
         if self.submits == submit + 1 {
             self.last = None;
@@ -105,6 +106,7 @@
     }
 }
 
+/// An accepted text that still has to be delivered or whose failure still has to be reported.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OutstandingText {
     pub info: TextInfo,
@@ -116,43 +118,45 @@
 }
 
 impl OutstandingText {
+    /// The number of submits so far.
     pub fn submits(&self) -> usize {
         self.sent.submits
     }
 
-    /// Whether a submit may have run that nobody knows the end of.
+    /// Whether a submit with an unknown outcome may have run.
     pub fn is_in_doubt(&self) -> bool {
         self.sent.doubt.is_some() || self.sent.last.is_some()
     }
 
-    /// When it was taken on, in Unix time.
+    /// When it was accepted, in Unix milliseconds.
     pub fn taken_ms(&self) -> f64 {
         self.taken_ms
     }
 
-    /// What the decisions have to know of earlier submits; those without an outcome may have run.
+    /// The submit history for the decision logic. Submits without an outcome may have run.
     pub fn past(&self, zone: impl Fn(&str) -> indigomast::api::ZoneId) -> SubmitHistory {
         let first_in_doubt = self.sent.doubt.as_ref().or(self.sent.last.as_ref());
         let first_in_doubt = first_in_doubt.map(|(at_ms, name)| (Moment::from_millis(*at_ms), zone(name)));
         SubmitHistory { submits: self.sent.submits, first_in_doubt }
     }
 
-    /// The latest time that it tells of, other than its own end.
-    fn newest_ms(&self) -> f64 {
+    /// The latest recorded time, not counting the end of its validity period.
+    fn latest_ms(&self) -> f64 {
         let sent = [&self.sent.doubt, &self.sent.last].into_iter().flatten().map(|(at_ms, _)| *at_ms);
         sent.fold(self.taken_ms, f64::max)
     }
 
-    /// Moves what is to come. How long ago a submit was nobody knows any more: its receiver may have forgotten it.
-    fn shift(&mut self, by_ms: f64) {
+    /// Shifts the acceptance time and the deadline. The age of earlier submits is unknown afterwards: the receiver's
+    /// deduplication memory of them may have expired.
+    fn shift_times(&mut self, by_ms: f64) {
         self.taken_ms += by_ms;
         self.info.until_ms += by_ms;
         let last = self.sent.last.take();
-        self.sent.doubt = self.sent.doubt.take().or(last).map(|(_, zone)| (LONG_AGO_MS, zone));
+        self.sent.doubt = self.sent.doubt.take().or(last).map(|(_, zone)| (UNKNOWN_SEND_TIME_MS, zone));
     }
 }
 
-/// An item's beginning, and all that is known of it when it is moved on; the body follows.
+/// The head of an item's opening record, and of its full image when compaction moves it. The body follows.
 #[derive(Serialize, Deserialize)]
 struct Stored<'a> {
     taken_ms: f64,
@@ -162,7 +166,7 @@
     report: Option<Report>,
 }
 
-/// [`TextInfo`] without copies.
+/// [`TextInfo`] with borrowed strings.
 #[derive(Serialize, Deserialize)]
 struct StoredInfo<'a> {
     id: &'a str,
@@ -173,26 +177,26 @@
     until_ms: f64,
 }
 
-/// An item that begins so is no text: a text begins with the time at which it was taken on, and this is no number.
-const NO_TEXT: [u8; 8] = [0xff; 8];
+/// Prefix of items that are not texts. A text starts with its acceptance time as a float, and these bytes are a NaN.
+const NON_TEXT_PREFIX: [u8; 8] = [0xff; 8];
 
-/// What the journal keeps beside texts.
+/// A record that the journal keeps beside the texts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum AuxiliaryRecord {
-    /// What a product's name in texts stands for.
+    /// The settings that a product reference in texts stands for.
     Terms { reference: String, terms: ProductSettings },
-    /// Operators took this endpoint out and have not given it back.
+    /// Operators took this endpoint out of service and have not returned it.
     Out { endpoint: String },
 }
 
 impl AuxiliaryRecord {
-    fn store(&self, mut into: Vec<u8>) -> Vec<u8> {
-        into.extend(NO_TEXT);
+    fn encode(&self, mut into: Vec<u8>) -> Vec<u8> {
+        into.extend(NON_TEXT_PREFIX);
         postcard::to_extend(self, into).expect("plain data")
     }
 }
 
-fn store(owed: &OutstandingText, into: Vec<u8>) -> Vec<u8> {
+fn encode(owed: &OutstandingText, into: Vec<u8>) -> Vec<u8> {
     let TextInfo { id, mark, product, key, dest, until_ms } = &owed.info;
     let stored = Stored {
         taken_ms: owed.taken_ms,
@@ -212,7 +216,7 @@
     payload
 }
 
-fn restore(payload: &[u8]) -> Option<OutstandingText> {
+fn decode(payload: &[u8]) -> Option<OutstandingText> {
     let (Stored { taken_ms, info, sent, report }, body) = postcard::take_from_bytes(payload).ok()?;
     let StoredInfo { id, mark, product, key, dest, until_ms } = info;
     let owned = |part: Option<&str>| part.map(str::to_owned);
@@ -227,27 +231,27 @@
     Some(OutstandingText { info, body: body.into(), report, sent, taken_ms, bytes: payload.len() as u64 })
 }
 
-/// What a journal holds, as it is read.
+/// The journal's contents while they are read.
 #[derive(Default)]
-struct Reading {
+struct RecoveredState {
     owed: BTreeMap<usize, OutstandingText>,
     kept: BTreeMap<usize, AuxiliaryRecord>,
-    /// Sound records that say nothing to this program.
-    unread: u64,
+    /// Records with a valid checksum that this program cannot interpret.
+    unreadable: u64,
 }
 
-impl Reading {
-    fn hear(&mut self, key: Key, entry: Entry) {
+impl RecoveredState {
+    fn apply(&mut self, key: Key, entry: Entry) {
         let text = key.0 as usize;
         let known = match entry {
-            Entry::Open(payload) | Entry::Whole(payload) if payload.starts_with(&NO_TEXT) => {
-                let kept = postcard::from_bytes(&payload[NO_TEXT.len()..]).ok();
+            Entry::Open(payload) | Entry::Whole(payload) if payload.starts_with(&NON_TEXT_PREFIX) => {
+                let kept = postcard::from_bytes(&payload[NON_TEXT_PREFIX.len()..]).ok();
                 let known = kept.is_some();
                 kept.map(|kept| self.kept.insert(text, kept));
                 known
             }
             Entry::Open(payload) | Entry::Whole(payload) => {
-                let owed = restore(payload);
+                let owed = decode(payload);
                 let known = owed.is_some();
                 owed.map(|owed| self.owed.insert(text, owed));
                 known
@@ -258,15 +262,15 @@
                 true
             }
             Entry::Note(tag, payload) => {
-                let noted = self.owed.get_mut(&text).and_then(|owed| note(owed, tag, payload));
+                let noted = self.owed.get_mut(&text).and_then(|owed| apply_note(owed, tag, payload));
                 noted.is_some()
             }
         };
-        self.unread += u64::from(!known);
+        self.unreadable += u64::from(!known);
     }
 }
 
-fn note(owed: &mut OutstandingText, tag: u8, payload: &[u8]) -> Option<()> {
+fn apply_note(owed: &mut OutstandingText, tag: u8, payload: &[u8]) -> Option<()> {
     match tag {
         SUBMITTED => {
             let (submit, at_ms, zone) = postcard::from_bytes(payload).ok()?;
@@ -282,43 +286,43 @@
     Some(())
 }
 
-/// What a journal that nobody uses holds.
+/// The contents of a journal that no process uses.
 pub struct JournalContents {
     pub recovered: Recovered,
     pub outstanding: BTreeMap<usize, OutstandingText>,
     pub auxiliary: Vec<AuxiliaryRecord>,
-    /// Sound records that say nothing to this program.
+    /// Records with a valid checksum that this program cannot interpret.
     pub unreadable: u64,
-    /// Bytes of all segments, and of what is owed in them.
+    /// Bytes of all segments, and of the live records in them.
     pub used_bytes: u64,
     pub live_bytes: u64,
 }
 
-/// The process before may be a moment behind its own end.
-fn take_folder(path: &Path, wait: Duration) -> io::Result<Folder> {
+/// Opens the folder, waiting for its lock: the previous process may still be shutting down.
+fn open_folder(path: &Path, wait: Duration) -> io::Result<Folder> {
     let by = Instant::now() + wait;
     loop {
         match Folder::open(path) {
             Err(e) if e.kind() == ErrorKind::ResourceBusy && Instant::now() < by => {
-                thread::sleep(LOCK_PAUSE);
+                thread::sleep(LOCK_RETRY_DELAY);
             }
             taken => return taken,
         }
     }
 }
 
-/// The folder of the journal: the one named, or the one in it.
-fn folder_of(path: &Path) -> PathBuf {
+/// The journal's folder: the subfolder of `path` if there is one, else `path` itself.
+fn journal_folder(path: &Path) -> PathBuf {
     let inner = path.join(FOLDER);
     if inner.is_dir() { inner } else { path.to_owned() }
 }
 
-/// Reads a journal that no process uses, and changes nothing.
+/// Reads a journal that no process uses, without changing it.
 pub fn read_contents(path: &Path) -> io::Result<JournalContents> {
-    let folder = Folder::open_used(&folder_of(path))?;
-    let mut reading = Reading::default();
-    let (journal, recovered) = Journal::look(folder, usize::MAX, &mut |key, entry| reading.hear(key, entry))?;
-    let Reading { owed: outstanding, kept, unread: unreadable } = reading;
+    let folder = Folder::open_used(&journal_folder(path))?;
+    let mut state = RecoveredState::default();
+    let (journal, recovered) = Journal::look(folder, usize::MAX, &mut |key, entry| state.apply(key, entry))?;
+    let RecoveredState { owed: outstanding, kept, unreadable } = state;
     let auxiliary = kept.into_values().collect();
     Ok(JournalContents {
         recovered,
@@ -330,15 +334,15 @@
     })
 }
 
-/// Writes what is owed in a journal that no process uses anew, and gives back the rest; the bytes of all segments
-/// before and after. One with damage is left as it is: what is damaged may be wanted yet.
+/// Rewrites the live records of a journal that no process uses and frees the rest. Returns the bytes of all segments before and
+/// after. A damaged journal is left unchanged, since the damaged part may still be needed.
 pub fn compact(path: &Path) -> io::Result<(u64, u64)> {
     let looked = read_contents(path)?;
     if !looked.recovered.damage.is_empty() || looked.recovered.manifest_lost || looked.unreadable > 0 {
         return Err(io::Error::new(ErrorKind::InvalidData, "it is damaged, and is left as it is"));
     }
-    let longest = looked.outstanding.values().map(|owed| store(owed, Vec::new()).len()).max().unwrap_or(0);
-    let folder = Folder::open_used(&folder_of(path))?;
+    let longest = looked.outstanding.values().map(|owed| encode(owed, Vec::new()).len()).max().unwrap_or(0);
+    let folder = Folder::open_used(&journal_folder(path))?;
     let segment = (4 << 20).max(4 * longest as u64);
     let settings = Settings {
         segment,
@@ -347,49 +351,50 @@
         step: 0,
         durability: indigomast_journal::Durability::Batch,
     };
-    let mut reading = Reading::default();
-    let (mut journal, _) = Journal::open(folder, settings, 0, &mut |key, entry| reading.hear(key, entry))?;
+    let mut state = RecoveredState::default();
+    let (mut journal, _) = Journal::open(folder, settings, 0, &mut |key, entry| state.apply(key, entry))?;
     let before = journal.used();
-    journal.compact(Duration::ZERO, &mut |key, into| image(&reading.owed, &reading.kept, key, into))?;
+    journal.compact(Duration::ZERO, &mut |key, into| write_image(&state.owed, &state.kept, key, into))?;
     Ok((before, journal.used()))
 }
 
-fn image(
+fn write_image(
     owed: &BTreeMap<usize, OutstandingText>,
     kept: &BTreeMap<usize, AuxiliaryRecord>,
     key: Key,
     into: &mut Vec<u8>,
 ) {
     if let Some(owed) = owed.get(&(key.0 as usize)) {
-        *into = store(owed, std::mem::take(into));
+        *into = encode(owed, std::mem::take(into));
     } else if let Some(kept) = kept.get(&(key.0 as usize)) {
-        *into = kept.store(std::mem::take(into));
+        *into = kept.encode(std::mem::take(into));
     }
 }
 
+/// The journal of a running sender.
 pub struct TextJournal<S: Store = Folder> {
     records: Journal<S>,
     owed: BTreeMap<usize, OutstandingText>,
     kept: BTreeMap<usize, AuxiliaryRecord>,
-    /// What the texts at hand take, or may still take.
+    /// Bytes that the outstanding texts take, including what is reserved for their notes.
     bytes: u64,
-    /// Texts that have not ended.
+    /// Texts without a final status.
     held: usize,
-    most_texts: u64,
+    max_text_bytes: u64,
     reserve: u64,
-    most_owed: usize,
+    max_outstanding: usize,
     began: Instant,
-    /// Segments given back.
+    /// Segments freed by compaction.
     pub compactions: usize,
 }
 
 impl TextJournal {
-    /// Opens the journal, reads what an earlier life left in it, and carries over a log of the format before.
+    /// Opens the journal, recovers its contents, and imports a log of the previous format.
     pub fn open(folder: &Path, limits: &Limits, now: Moment) -> io::Result<TextJournal> {
         let mut journal =
-            TextJournal::with_store(take_folder(&folder.join(FOLDER), limits.lock_wait)?, limits, now)?;
-        if let Some(carried) = texts_log::read(folder)? {
-            let count = journal.carry_over(carried, now)?;
+            TextJournal::with_store(open_folder(&folder.join(FOLDER), limits.lock_wait)?, limits, now)?;
+        if let Some(imported) = texts_log::read(folder)? {
+            let count = journal.import(imported, now)?;
             log!("{count} texts were carried over from a log of the format before");
             texts_log::remove(folder)?;
         }
@@ -398,44 +403,45 @@
 }
 
 impl<S: Store> TextJournal<S> {
+    /// Opens the journal on a store and recovers its contents.
     pub fn with_store(store: S, limits: &Limits, now: Moment) -> io::Result<TextJournal<S>> {
         let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        // Tells this journal from all others, if it is a new one.
+        // Identifies the journal if it is a new one.
         let number = since.as_nanos() as u64 ^ u64::from(std::process::id()) << 40;
-        let mut reading = Reading::default();
+        let mut state = RecoveredState::default();
         let settings = limits.journal.clone();
         let (records, recovered) =
-            Journal::open(store, settings, number, &mut |key, entry| reading.hear(key, entry))?;
-        if reading.unread > 0 {
-            // Their checksums hold, so another program wrote them, which may want them yet.
-            let what = format!("{} sound records can't be read by this program", reading.unread);
+            Journal::open(store, settings, number, &mut |key, entry| state.apply(key, entry))?;
+        if state.unreadable > 0 {
+            // Their checksums are valid, so another version of the program wrote them and may still need them.
+            let what = format!("{} sound records can't be read by this program", state.unreadable);
             return Err(io::Error::new(ErrorKind::InvalidData, what));
         }
         let mut journal = TextJournal {
             records,
-            owed: reading.owed,
-            kept: reading.kept,
+            owed: state.owed,
+            kept: state.kept,
             bytes: 0,
             held: 0,
-            most_texts: limits.log_texts,
+            max_text_bytes: limits.log_texts,
             reserve: limits.log_reserve,
-            most_owed: limits.texts,
+            max_outstanding: limits.texts,
             began: Instant::now(),
             compactions: 0,
         };
-        journal.tell(&recovered);
-        journal.suspect(&recovered, limits.submits);
+        journal.log_recovery(&recovered);
+        journal.apply_losses(&recovered, limits.submits);
         for (text, owed) in &mut journal.owed {
-            owed.bytes = store_length(owed) + journal.reserve;
+            owed.bytes = encoded_length(owed) + journal.reserve;
             journal.bytes += owed.bytes;
             journal.held += usize::from(owed.report.is_none());
             journal.records.reserve(Key(*text as u64), journal.reserve);
         }
-        journal.set_right(now)?;
+        journal.correct_clock_step(now)?;
         Ok(journal)
     }
 
-    fn tell(&self, recovered: &Recovered) {
+    fn log_recovery(&self, recovered: &Recovered) {
         if let Some(torn) = recovered.torn {
             log!("the journal ends in a torn record: {} bytes dropped", torn.bytes);
         }
@@ -457,10 +463,10 @@
         }
     }
 
-    /// What may have been lost of a text was: it counts as submitted as often as the lost bytes can have told of, and as
-    /// one that may have run, from its beginning on.
-    fn suspect(&mut self, recovered: &Recovered, most: usize) {
-        let lost = recovered.most_lost(LEAST_SUBMITTED).map_or(most, |lost| lost.min(most as u64) as usize);
+    /// Assumes the worst of texts whose notes may have been lost: as many submits as the lost bytes can have recorded, and that
+    /// one may have run at any time since the text was accepted.
+    fn apply_losses(&mut self, recovered: &Recovered, most: usize) {
+        let lost = recovered.most_lost(MIN_SUBMIT_NOTE).map_or(most, |lost| lost.min(most as u64) as usize);
         for key in &recovered.suspects {
             let Some(owed) = self.owed.get_mut(&(key.0 as usize)) else { continue };
             if lost == 0 {
@@ -473,12 +479,12 @@
         }
     }
 
-    /// A clock that was set back between two lives would have texts outlive their time: all is moved by as much as the
-    /// newest time known lies ahead. That is the least that it was set back by, so a doubt is older than it seems, and
-    /// counts as old. One that was set forward looks like a long absence; one that was set back by less than the absence
-    /// can't be told from one that was not.
-    fn set_right(&mut self, now: Moment) -> io::Result<()> {
-        let newest = self.owed.values().map(OutstandingText::newest_ms).fold(f64::MIN, f64::max);
+    /// Corrects for a wall clock that was set back between two runs, which would let texts outlive their validity period. All
+    /// times are moved back by the distance from now to the newest recorded time. That is a lower bound of the step, so submits
+    /// in doubt are older than they seem and count as arbitrarily old. A clock set forward looks like a long downtime; one set
+    /// back by less than the downtime cannot be detected.
+    fn correct_clock_step(&mut self, now: Moment) -> io::Result<()> {
+        let newest = self.owed.values().map(OutstandingText::latest_ms).fold(f64::MIN, f64::max);
         let ahead = newest - now.as_millis();
         if ahead <= CLOCK_SLACK_MS {
             return Ok(());
@@ -486,30 +492,31 @@
         log!(
             "the clock was set back by {ahead:.0} ms or more since the last life; what is owed is moved by that"
         );
-        self.owed.values_mut().for_each(|owed| owed.shift(-ahead));
-        // Written anew, so that the life after this one doesn't do it again.
+        self.owed.values_mut().for_each(|owed| owed.shift_times(-ahead));
+        // Rewritten at once, so that the next start does not apply the correction again.
         let (owed, kept) = (&self.owed, &self.kept);
-        self.records.compact(self.began.elapsed(), &mut |key, into| image(owed, kept, key, into))?;
+        self.records.compact(self.began.elapsed(), &mut |key, into| write_image(owed, kept, key, into))?;
         Ok(())
     }
 
-    /// Takes over what the log of the format before owes, unless an earlier start that didn't come to its end has.
-    fn carry_over(&mut self, carried: Vec<Carried>, now: Moment) -> io::Result<usize> {
+    /// Imports the outstanding texts of the previous format's log. Texts that an interrupted earlier start has imported are
+    /// skipped.
+    fn import(&mut self, imported: Vec<ImportedText>, now: Moment) -> io::Result<usize> {
         let known: BTreeMap<String, usize> =
             self.owed.iter().map(|(text, owed)| (owed.info.id.clone(), *text)).collect();
         let mut count = 0;
-        for Carried { info, body, report, sent } in carried {
+        for ImportedText { info, body, report, sent } in imported {
             if let Some(text) = known.get(&info.id) {
                 if self.owed[text].sent.submits >= sent.submits {
                     continue;
                 }
-                // The format before was gone back to in between, and knows more of this text.
+                // A rollback to the previous format has recorded more submits of this text since.
                 self.remove(*text);
                 self.records.close(Key(*text as u64));
             }
             let taken_ms = now.as_millis();
             let owed = OutstandingText { info, body, report, sent, taken_ms, bytes: 0 };
-            if self.begin(owed).is_none() {
+            if self.add(owed).is_none() {
                 return Err(io::Error::new(
                     ErrorKind::StorageFull,
                     "a log of the format before holds more than the journal may",
@@ -521,14 +528,17 @@
         Ok(count)
     }
 
+    /// All outstanding texts by number.
     pub fn outstanding(&self) -> &BTreeMap<usize, OutstandingText> {
         &self.owed
     }
 
+    /// The number of texts without a final status.
     pub fn unfinished(&self) -> usize {
         self.held
     }
 
+    /// Gives back the store.
     pub fn into_store(self) -> S {
         self.records.into_store()
     }
@@ -540,10 +550,10 @@
         }
     }
 
-    fn begin(&mut self, mut owed: OutstandingText) -> Option<usize> {
-        let payload = store(&owed, Vec::new());
+    fn add(&mut self, mut owed: OutstandingText) -> Option<usize> {
+        let payload = encode(&owed, Vec::new());
         owed.bytes = payload.len() as u64 + self.reserve;
-        if self.bytes + owed.bytes > self.most_texts || self.owed.len() >= self.most_owed {
+        if self.bytes + owed.bytes > self.max_text_bytes || self.owed.len() >= self.max_outstanding {
             return None;
         }
         let text = self.records.begin(&payload, self.reserve).ok()?.0 as usize;
@@ -553,10 +563,10 @@
         Some(text)
     }
 
-    /// Takes a text into the journal, if there is room for it and all that will be written of it.
+    /// Adds a text and returns its number, if there is room for it and for all notes it may need.
     pub fn accept(&mut self, info: TextInfo, body: Arc<[u8]>, now: Moment) -> Option<usize> {
         let taken_ms = now.as_millis();
-        self.begin(OutstandingText {
+        self.add(OutstandingText {
             info,
             body,
             report: None,
@@ -571,7 +581,7 @@
         self.records.note(Key(text as u64), tag, &payload);
     }
 
-    /// Notes the next submit of a text.
+    /// Records the next submit of a text.
     pub fn record_submit(&mut self, text: usize, at: Moment, zone: &str) {
         let Some(owed) = self.owed.get_mut(&text) else { return };
         let submit = owed.sent.submits;
@@ -579,7 +589,7 @@
         self.note(text, SUBMITTED, &(submit, at.as_millis(), zone));
     }
 
-    /// A submit that never ran, so that no doubt is left of it.
+    /// Records that a submit never ran, so that it is no longer in doubt.
     pub fn record_never_ran(&mut self, text: usize, submit: usize) {
         if let Some(owed) = self.owed.get_mut(&text) {
             owed.sent.never_ran(submit);
@@ -587,46 +597,52 @@
         }
     }
 
-    /// Over, but for the report, if there is one.
+    /// Records that a text ended. It is closed unless a report of it is still to be sent.
     pub fn record_end(&mut self, text: usize, report: Option<Report>) {
         let Some(report) = report else { return self.record_reported(text) };
         let Some(owed) = self.owed.get_mut(&text) else { return };
         self.held -= usize::from(owed.report.replace(report).is_none());
-        let spared = std::mem::take(&mut owed.body).len() as u64;
-        owed.bytes -= spared;
-        self.bytes -= spared;
+        let freed = std::mem::take(&mut owed.body).len() as u64;
+        owed.bytes -= freed;
+        self.bytes -= freed;
         self.note(text, ENDED, &report);
     }
 
+    /// Closes a text: nothing is outstanding for it.
     pub fn record_reported(&mut self, text: usize) {
         self.remove(text);
         self.records.close(Key(text as u64));
     }
 
-    /// Brings all that was added to the disk, as surely as was asked for. On an error nothing added since the last
-    /// flush may be promised, and the next one writes it again.
+    /// Writes everything added to disk with the configured durability.
+    ///
+    /// # Errors
+    ///
+    /// Nothing added since the last successful flush is guaranteed; the next flush writes it again.
     pub fn flush(&mut self) -> io::Result<()> {
         let (owed, kept) = (&self.owed, &self.kept);
         let step =
-            self.records.commit(self.began.elapsed(), &mut |key, into| image(owed, kept, key, into))?;
+            self.records.commit(self.began.elapsed(), &mut |key, into| write_image(owed, kept, key, into))?;
         self.compactions += step.retired;
         Ok(())
     }
 
+    /// The records kept beside the texts.
     pub fn auxiliary_records(&self) -> impl Iterator<Item = &AuxiliaryRecord> {
         self.kept.values()
     }
 
-    /// Keeps something beside the texts; whether there is room for it. Not for sure before the next flush.
+    /// Adds a record beside the texts; returns whether there was room. It is durable only after the next flush.
     pub fn add_auxiliary(&mut self, kept: AuxiliaryRecord) -> bool {
         if self.kept.values().any(|other| *other == kept) {
             return true;
         }
-        let Ok(key) = self.records.begin(&kept.store(Vec::new()), 0) else { return false };
+        let Ok(key) = self.records.begin(&kept.encode(Vec::new()), 0) else { return false };
         self.kept.insert(key.0 as usize, kept);
         true
     }
 
+    /// Closes the auxiliary records that match.
     pub fn remove_auxiliary(&mut self, gone: impl Fn(&AuxiliaryRecord) -> bool) {
         let gone: Vec<usize> =
             self.kept.iter().filter(|(_, kept)| gone(kept)).map(|(text, _)| *text).collect();
@@ -636,7 +652,7 @@
         }
     }
 
-    /// Something kept that could not be written after all.
+    /// Drops an auxiliary record that could not be written.
     pub fn abandon_auxiliary(&mut self, kept: &AuxiliaryRecord) {
         let found = self.kept.iter().find(|(_, other)| *other == kept).map(|(text, _)| *text);
         if let Some(text) = found {
@@ -645,36 +661,36 @@
         }
     }
 
-    /// From now on texts may be submitted so often.
+    /// Raises the bytes reserved for the notes of each new text.
     pub fn raise_reserve(&mut self, reserve: u64) {
         self.reserve = self.reserve.max(reserve);
     }
 
-    /// Whether a next life may find a text though the last flush failed. Its client can't be told then that handing it in
-    /// again is harmless.
+    /// Whether the next start may recover a text although the last flush failed. If so, its client must not be told that
+    /// resending is harmless.
     pub fn may_be_recovered(&self, text: usize) -> bool {
         self.records.may_be_found(Key(text as u64))
     }
 
-    /// Forgets a text that could not be written, so that nothing is owed for it.
+    /// Drops a text that could not be written, so that it is no longer outstanding.
     pub fn abandon(&mut self, text: usize) {
         self.remove(text);
         self.records.abandon(Key(text as u64));
     }
 }
 
-fn store_length(owed: &OutstandingText) -> u64 {
-    store(owed, Vec::new()).len() as u64
+fn encoded_length(owed: &OutstandingText) -> u64 {
+    encode(owed, Vec::new()).len() as u64
 }
 
-/// How long the longest payload of a journal is whose texts have bodies, names, products and zones of at most so many
-/// bytes, with all that may come to be known of them.
+/// The longest possible payload for texts whose bodies, names, products and zones have at most this many bytes, including
+/// the submit history.
 pub fn longest_payload(body: usize, name: usize, product: usize, zone: usize) -> usize {
-    // Lengths, times and options take up to 80 bytes.
+    // Lengths, times and option tags take up to 80 bytes.
     body + 3 * name + product + 2 * zone + 80
 }
 
-/// What may be noted of a text with so many submits, in bytes of the journal.
+/// Journal bytes that the notes on a text with this many submits can take.
 pub fn reserve_bytes(submits: usize, zone: usize) -> u64 {
     let head = 24;
     let submitted = head + 3 + 8 + 2 + zone;
--- a/crates/sender/src/texts_log.rs
+++ b/crates/sender/src/texts_log.rs
@@ -1,7 +1,7 @@
-//! The log of the format before the journal, `texts.log`: read once, at the first start with a journal.
+//! Reads `texts.log`, the format that preceded the journal, once: at the first start with a journal.
 //!
-//! A record is its length and checksum, then a line of JSON and, for a text taken on, its body. All that is behind the
-//! first record that isn't whole was never promised to be readable, and is dropped.
+//! A record is its length and checksum, then a line of JSON and, for an accepted text, its body. Everything after the first
+//! incomplete record was never confirmed as durable and is dropped.
 
 use crate::log;
 use crate::text_journal::{JournaledSubmits, Report, TextInfo};
@@ -12,10 +12,12 @@
 use std::path::Path;
 use std::sync::Arc;
 
+/// The log's file name.
 const NAME: &str = "texts.log";
-/// A file half written when a process ended.
-const NEXT: &str = "texts.next";
-const FRAME: usize = 8;
+/// A replacement file left incomplete when a process ended.
+const TEMP_NAME: &str = "texts.next";
+/// Bytes of the length and checksum before each record.
+const HEADER_BYTES: usize = 8;
 
 #[derive(Deserialize)]
 enum Record {
@@ -27,42 +29,42 @@
     Reported { text: usize },
 }
 
-/// A text that is owed still.
-pub(crate) struct Carried {
+/// An outstanding text of the log.
+pub(crate) struct ImportedText {
     pub info: TextInfo,
     pub body: Arc<[u8]>,
     pub report: Option<Report>,
     pub sent: JournaledSubmits,
 }
 
-/// The record at the front and how long it is; `None` where it is torn, or where there is none.
-fn unframe(bytes: &[u8]) -> Option<(Record, &[u8], usize)> {
+/// The first record, its body and its length; `None` if it is torn or there is none.
+fn parse_record(bytes: &[u8]) -> Option<(Record, &[u8], usize)> {
     let word = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
     let (length, sum) = (word(0)? as usize, word(4)?);
-    let payload = bytes.get(FRAME..FRAME.checked_add(length)?)?;
+    let payload = bytes.get(HEADER_BYTES..HEADER_BYTES.checked_add(length)?)?;
     if crc32fast::hash(payload) != sum {
         return None;
     }
     let line = payload.iter().position(|b| *b == b'\n')?;
     let record = serde_json::from_slice(&payload[..line]).ok()?;
-    Some((record, &payload[line + 1..], FRAME + length))
+    Some((record, &payload[line + 1..], HEADER_BYTES + length))
 }
 
-/// What the log owes, in the order in which it was taken on; `None` where there is no log.
-pub(crate) fn read(folder: &Path) -> io::Result<Option<Vec<Carried>>> {
+/// The outstanding texts in the order of their acceptance; `None` if there is no log.
+pub(crate) fn read(folder: &Path) -> io::Result<Option<Vec<ImportedText>>> {
     let bytes = match fs::read(folder.join(NAME)) {
         Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
         read => read?,
     };
-    let mut owed: BTreeMap<usize, Carried> = BTreeMap::new();
+    let mut owed: BTreeMap<usize, ImportedText> = BTreeMap::new();
     let mut at = 0;
-    while let Some((record, body, length)) = unframe(&bytes[at..]) {
+    while let Some((record, body, length)) = parse_record(&bytes[at..]) {
         at += length;
         match record {
             Record::Taken { text, info } => {
-                let carried =
-                    Carried { info, body: body.into(), report: None, sent: JournaledSubmits::default() };
-                owed.insert(text, carried);
+                let imported =
+                    ImportedText { info, body: body.into(), report: None, sent: JournaledSubmits::default() };
+                owed.insert(text, imported);
             }
             Record::Submitted { text, at_ms, zone } => {
                 if let Some(owed) = owed.get_mut(&text) {
@@ -89,9 +91,9 @@
     Ok(Some(owed.into_values().collect()))
 }
 
-/// Once all of it is in the journal.
+/// Removes the log. Call only once all of it is in the journal.
 pub(crate) fn remove(folder: &Path) -> io::Result<()> {
-    for name in [NEXT, NAME] {
+    for name in [TEMP_NAME, NAME] {
         match fs::remove_file(folder.join(name)) {
             Err(e) if e.kind() != ErrorKind::NotFound => return Err(e),
             _ => {}
