--- a/crates/sender/src/request_ids.rs
+++ b/crates/sender/src/request_ids.rs
@@ -10,7 +10,7 @@
     /// None of one that is over.
     pub text: Option<TextId>,
     /// A checksum of all that is passed on: another form under the same id is another text.
-    pub checksum: u32,
+    pub fingerprint: u32,
     /// It came on a connection that had handed in texts before.
     pub proven: bool,
 }
@@ -24,8 +24,8 @@
 }
 
 impl RequestIds {
-    pub fn insert(&mut self, id: String, text: TextId, checksum: u32, proven: bool) {
-        self.known.insert(id, KnownId { text: Some(text), checksum, proven });
+    pub fn insert(&mut self, id: String, text: TextId, fingerprint: u32, proven: bool) {
+        self.known.insert(id, KnownId { text: Some(text), fingerprint, proven });
     }
 
     /// What an id stands for; nothing where it is new.
@@ -50,7 +50,7 @@
     pub fn finished(&self) -> Vec<(String, u32, bool, f64)> {
         let finished = self.finished.iter().filter_map(|(since, id)| {
             let known = self.known.get(id).filter(|known| known.text.is_none())?;
-            Some((id.clone(), known.checksum, known.proven, since.elapsed().as_secs_f64() * 1000.0))
+            Some((id.clone(), known.fingerprint, known.proven, since.elapsed().as_secs_f64() * 1000.0))
         });
         finished.collect()
     }
@@ -58,9 +58,9 @@
     pub fn successor(left: Vec<(String, u32, bool, f64)>) -> RequestIds {
         let mut ids = RequestIds::default();
         let now = Instant::now();
-        for (id, checksum, proven, ms) in left {
+        for (id, fingerprint, proven, ms) in left {
             let since = Duration::try_from_secs_f64(ms / 1000.0).ok().and_then(|ago| now.checked_sub(ago));
-            ids.known.insert(id.clone(), KnownId { text: None, checksum, proven });
+            ids.known.insert(id.clone(), KnownId { text: None, fingerprint, proven });
             ids.finished.push_back((since.unwrap_or(now), id));
         }
         ids
