--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,7 +1,8 @@
-//! Every decision on a text: whether, when, where and how often it is submitted, and how it ends.
+//! Decides on each text: whether, when, where and how often it is submitted, and how it ends.
 //!
-//! [`Rules::step`] takes what happened at one moment and returns what to do, in order; both are in
-//! [`crate::api`]. `docs/design.md` tells which page the ordinary path follows and where it departs from it.
+//! [`Rules::step`] takes the events of one moment and returns the actions to take, in order; both are
+//! defined in [`crate::api`]. `docs/design.md` tells which page the ordinary path follows and where it
+//! departs from it.
 
 use crate::api::*;
 use crate::chance::Chance;
@@ -11,227 +12,295 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// How often the one periodic timer comes round, which is most of what an idle sender hears.
-const BEAT: Span = Span::millis(20);
-/// A lane without calls or texts for so long is dropped with all that it learnt.
-const QUIET_SPELL: Span = Span::millis(30_000);
-/// A text is ended, and a submit cut, so long before the end of the validity period: more than a beat.
+/// Interval of the one periodic timer, which causes most of the work of an idle sender.
+const TICK_INTERVAL: Span = Span::millis(20);
+/// State of a route or an unlisted endpoint that has been idle for this long is dropped.
+const IDLE_STATE_TTL: Span = Span::millis(30_000);
+/// Time before the end of the validity period at which a text is ended and a submit times out. The first is
+/// longer than a tick interval, so that the answer still reaches the client in time.
 const ANSWER_MARGIN: Span = Span::millis(28);
-const CUT_MARGIN: Span = Span::millis(12);
-/// A referenced text is not sent again so close to the end of its receiver's memory.
+const TIMEOUT_MARGIN: Span = Span::millis(12);
+/// A referenced text is not sent again within this time of the end of its receiver's deduplication memory.
 const MEMORY_MARGIN: Span = Span::millis(300);
-/// A text in doubt goes before fresh ones when its receiver will forget it this soon.
-const FADING: Span = Span::millis(2_500);
-/// First pause of a rescheduled text; it doubles from submit to submit up to the longest.
-const FIRST_PAUSE: Span = Span::millis(250);
-const LONGEST_PAUSE: Span = Span::millis(8_000);
-/// First pause between trial calls to what is held to be down, its growth and its end.
-const FIRST_TRIAL: Span = Span::millis(400);
-const TRIAL_GROWTH: f64 = 1.6;
-const LONGEST_TRIAL: Span = Span::millis(1_200);
-/// Strikes in a row, one a round trip at most, after which a lane or endpoint is held to be down.
-const STRIKES_OUT: u32 = 6;
-/// A strike counts double so long after the one before.
-const FAR_APART: Span = Span::millis(1_000);
-/// After a quick failure a lane rests so long, or as its part of the rate asks if that is less. Where calls
-/// to a cold receiver are to be further apart, a sender sends too few to find it down by their number.
-const SECOND_LOOK: Span = Span::millis(1_500);
-/// Where no rate is known, what a sender is handed at its peaks is this much over its mean.
-const PEAK: f64 = 2.0;
-/// A cold one is then trusted with so much over the mean, and from all senders with so many calls a second.
-const COLD_PEAK: f64 = 1.5;
-const LEAST_COLD: f64 = 4.0;
-/// Calls a second that a warm destination is trusted to take, where nothing else is known.
-const LEAST_RATE: f64 = 1.0;
-/// Recent answer times this far over the usual ones, and by at least so much, are sharply risen.
-const RISEN: f64 = 2.5;
-const RISEN_BY: f64 = 150.0;
-/// Lanes that answered so lately, and no more than these, tell how far answer times have risen in common.
-const LATELY: Span = Span::millis(3_000);
-const TELLING: usize = 15;
-/// This part of the room for texts is kept free.
-const ROOM_KEPT: f64 = 0.1;
-/// A pace falls to this part at a full, rises by this part of a share a second, lets calls through so early.
-const PACE_CUT: f64 = 0.8;
-const PACE_RISE: f64 = 0.1;
-const LONGEST_ROUND: Span = Span::millis(2_000);
-const PACE_EARLY: Span = Span::millis(100);
-const LEAST_PACE: f64 = 0.4;
-/// Where being turned away costs nothing a pace starts at this part of a known rate.
-const FIRST_PART: f64 = 0.25;
-/// A pace never falls under this part of a sender's part of a known rate.
-const LEAST_PART: f64 = 0.2;
-/// While less than this share of a limit is left, paces don't rise, and fall by up to this part an answer.
-const SCARCE: f64 = 0.5;
-const EASING: f64 = 0.1;
-/// Calls unanswered this many usual answer times, and at least so long, are taken for silence.
-const SILENT_TIMES: f64 = 4.0;
-const SILENT_AT_LEAST: Span = Span::millis(500);
-/// For so long after a connection of its kind was refused or lost, and not otherwise, idle ones are shut.
-const LOST_SPAN: Span = Span::millis(20_000);
-/// An idle connection is kept if its next use is expected within this part of its life.
-const KEPT_PART: f64 = 0.5;
-/// What is handed in for a destination is counted over this span, and over the least of it at the start.
-const DEMAND_SPAN: f64 = 15.0;
-const DEMAND_LEAST: f64 = 2.0;
-/// First pause before the list is asked for again.
-const FIRST_ASK: Span = Span::millis(300);
-
+/// A text in doubt is sent before fresh ones if its receiver's deduplication memory of it ends within this
+/// time.
+const EXPIRING_WITHIN: Span = Span::millis(2_500);
+/// Delay before the first retry of a text; it doubles with each submit up to the maximum.
+const INITIAL_BACKOFF: Span = Span::millis(250);
+const MAX_BACKOFF: Span = Span::millis(8_000);
+/// Interval between trial calls to a route or endpoint that is marked down: its initial value, growth
+/// factor and maximum.
+const INITIAL_TRIAL_INTERVAL: Span = Span::millis(400);
+const TRIAL_INTERVAL_GROWTH: f64 = 1.6;
+const MAX_TRIAL_INTERVAL: Span = Span::millis(1_200);
+/// Consecutive failures, counted at most once a round trip, after which a route or endpoint is marked down.
+const FAILURES_UNTIL_DOWN: u32 = 6;
+/// A failure counts double if the previous one was at least this long ago.
+const SPARSE_FAILURE_GAP: Span = Span::millis(1_000);
+/// Pause of a route after a quick failure, or one call interval of this sender's share of the rate if that
+/// is shorter. Where the calls to a cold receiver have to be further apart than this, a sender makes too
+/// few calls to mark it down by their number.
+const QUICK_FAILURE_PAUSE: Span = Span::millis(1_500);
+/// Assumed ratio of a sender's peak demand to its mean demand, where no rate is known.
+const PEAK_TO_MEAN: f64 = 2.0;
+/// The same ratio for a cold destination, and the calls a second that all senders together may make to it.
+const COLD_PEAK_TO_MEAN: f64 = 1.5;
+const MIN_COLD_RATE: f64 = 4.0;
+/// Calls a second that a warm destination is assumed to take, where nothing else is known.
+const MIN_WARM_RATE: f64 = 1.0;
+/// Answer times count as sharply risen if the recent average exceeds the usual one by this factor and by at
+/// least this many milliseconds.
+const SLOW_FACTOR: f64 = 2.5;
+const SLOW_MARGIN_MS: f64 = 150.0;
+/// The rise of answer times common to all routes is taken from the routes that answered within this span,
+/// and from this many of them at most.
+const RECENT_ANSWER_SPAN: Span = Span::millis(3_000);
+const MAX_RECENT_ROUTES: usize = 15;
+/// Share of the capacity for held texts that is kept free.
+const RESERVED_CAPACITY_SHARE: f64 = 0.1;
+/// A pace is multiplied by the first factor when the receiver reports an overload and rises by the second
+/// as a share of this sender's share each second. The third limits the time that one overload response adds
+/// for all senders to take a turn; the fourth is how early a paced call may go out; the last is the lowest
+/// pace, in calls a second, where no rate is known.
+const PACE_DECREASE: f64 = 0.8;
+const PACE_INCREASE: f64 = 0.1;
+const MAX_ROUND: Span = Span::millis(2_000);
+const PACE_TOLERANCE: Span = Span::millis(100);
+const MIN_PACE: f64 = 0.4;
+/// Share of a known rate at which a pace starts where rejected calls cost nothing.
+const INITIAL_PACE_SHARE: f64 = 0.25;
+/// Lowest pace, as a share of this sender's share of a known rate.
+const MIN_PACE_SHARE: f64 = 0.2;
+/// While less than the first share of a limit is left, paces do not rise; each answer then lowers them by
+/// up to the second share.
+const LOW_LIMIT_SHARE: f64 = 0.5;
+const MAX_PACE_EASING: f64 = 0.1;
+/// A call counts as unanswered, and its receiver as silent, after this multiple of the usual answer time,
+/// and after this long at least.
+const SILENCE_FACTOR: f64 = 4.0;
+const MIN_SILENCE: Span = Span::millis(500);
+/// Idle connections are closed only within this time of a refused or lost connection to the same kind of
+/// destination.
+const CONNECTION_LOSS_SPAN: Span = Span::millis(20_000);
+/// An idle connection is kept if its next use is expected within this share of its keep-alive time.
+const IDLE_KEEP_SHARE: f64 = 0.5;
+/// Averaging time of the demand for a destination in seconds, and the shortest time over which it is
+/// averaged just after the start.
+const DEMAND_AVERAGING_SECS: f64 = 15.0;
+const MIN_DEMAND_SECS: f64 = 2.0;
+/// Initial delay before the sender subscribes to the list again after a failure.
+const INITIAL_SUBSCRIBE_BACKOFF: Span = Span::millis(300);
+
+/// What happens when a timer fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Text(TextId),
-    End(TextId),
-    Key(KeyId),
-    Ask,
-    Lane(DestId),
-    Idle(LaneId),
-    Overdue(u64),
-    Unlisted(EndpointId),
-    ListLapses,
+enum Timer {
+    /// The retry delay of a text is over.
+    RetryText(TextId),
+    /// A text has to be ended, as its validity or its receiver's memory of it ends.
+    EndText(TextId),
+    /// The pause of a key is over.
+    ReleaseKey(KeyId),
+    /// The list is subscribed to again after a failure.
+    Subscribe,
+    /// A route of a destination may be called again.
+    RouteOpens(DestId),
+    /// A route without calls is dropped if it is still idle.
+    DropIdleRoute(RouteId),
+    /// A call is checked for silence.
+    CheckCall(u64),
+    /// An endpoint that is not running is dropped if it is still idle.
+    DropUnlisted(EndpointId),
+    /// The lease of the list ends.
+    ListLeaseEnds,
 }
 
+/// Where a text stands between acceptance and its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
-    /// An earlier text of the key has the turn.
-    Behind,
+enum Stage {
+    /// An earlier text of the same key comes first.
+    BehindKey,
+    /// Not submitted yet, may be sent.
     Fresh,
-    Waiting,
-    Ready,
-    Out,
+    /// Waits for its retry delay.
+    BackingOff,
+    /// Submitted before, may be sent again.
+    RetryReady,
+    /// In a call that is out.
+    Submitted,
+    /// Ended; a submit may still be out, or its report outstanding.
     Ended,
 }
 
+/// A text that the sender is responsible for.
 struct Text {
     dest: DestId,
     product: ProductId,
     key: Option<KeyId>,
     valid_until: Moment,
     submits: usize,
-    out: Option<u64>,
+    /// The call that carries the text, while one is out.
+    current_call: Option<u64>,
+    /// When and in which zone the first submit that may have run was sent.
     first_in_doubt: Option<(Moment, ZoneId)>,
-    /// Given up, but whoever waits for the text has not heard of it yet.
-    untold: bool,
-    /// It shared a call that ran for nobody, and may be what spoilt it: it shares no other.
-    alone: bool,
-    /// Taken on by an earlier process. It was promised then, and gets a call before it is given up.
+    /// Given up, while the report to the client is still outstanding.
+    end_unreported: bool,
+    /// Travelled in a call with several texts that was never processed, and may be the cause, for example
+    /// because it can't be parsed. It is sent in calls of its own from then on.
+    unbatched: bool,
+    /// Accepted by an earlier process. The client was promised an attempt, so it gets a call before it is
+    /// given up.
     resumed: bool,
-    place: Place,
+    stage: Stage,
 }
 
+/// The texts of one key in the order in which they were accepted.
 #[derive(Default)]
-struct KeyLine {
-    line: VecDeque<TextId>,
-    rest_until: Option<Moment>,
+struct KeyQueue {
+    queue: VecDeque<TextId>,
+    /// Until when no text of the key is sent, as an earlier one may still run.
+    paused_until: Option<Moment>,
 }
 
-/// The texts held for a destination and the endpoints that they may go to.
+/// The texts held for a destination and the endpoints that they may be sent to.
 #[derive(Default)]
 struct Hold {
     fresh: BTreeSet<TextId>,
-    ready: BTreeSet<TextId>,
-    /// Ready texts in doubt, by the end of their receiver's memory, and untried ones of an earlier process.
-    fading: BTreeSet<(Moment, TextId)>,
-    /// Texts never in doubt and not out, which may be given up to make room.
-    sure: BTreeSet<TextId>,
+    retry_ready: BTreeSet<TextId>,
+    /// Texts that must not wait behind fresh ones, by the moment when it is too late for them: retries in
+    /// doubt by the end of their receiver's deduplication memory, and texts of an earlier process that were
+    /// never submitted by the end of their validity.
+    expiring: BTreeSet<(Moment, TextId)>,
+    /// Texts neither in doubt nor in a call, which may be given up to make room.
+    evictable: BTreeSet<TextId>,
     held: usize,
-    /// Texts handed in, fading with time, and when that was last brought up.
-    asked: f64,
-    asked_at: Moment,
+    /// Exponentially decayed count of the texts handed in, and the time up to which it has been decayed.
+    arrivals: f64,
+    arrivals_at: Moment,
     endpoints: Vec<EndpointId>,
+    /// Calls a second that the list states, as [`Settings::listed_rate`] tells; the largest of all
+    /// endpoints.
     units: f64,
     rank: Option<Rank>,
-    look_at: Option<Moment>,
-    /// An earlier process left texts here, and whether one of them was not merely out when that ended.
-    gentle: Option<bool>,
+    /// When the destination is next looked at, as one of its routes may be called then.
+    recheck_at: Option<Moment>,
+    /// Set if an earlier process left texts here that no call was made for since: true unless each had only
+    /// one submit, which was still out when that process ended.
+    resumed_unclear: Option<bool>,
 }
 
-/// Fresh before rescheduled, then the fewest calls out, then the newest text.
+/// Order of the destinations that may send: fresh texts before retries, then the fewest calls out, then the
+/// newest text.
 type Rank = (bool, usize, Reverse<TextId>, DestId);
-type Picked = Result<(Rank, EndpointId), Option<Moment>>;
+type PickResult = Result<(Rank, EndpointId), Option<Moment>>;
 
 impl Hold {
-    fn faded(&self, now: Moment) -> f64 {
-        (-now.since(self.asked_at).as_secs() / DEMAND_SPAN).exp()
+    fn decay(&self, now: Moment) -> f64 {
+        (-now.since(self.arrivals_at).as_secs() / DEMAND_AVERAGING_SECS).exp()
     }
 }
 
+/// A call that is out.
 struct Call {
     endpoint: EndpointId,
     sent: Moment,
-    texts_out: usize,
+    /// Texts of the call that have no outcome yet.
+    texts_unanswered: usize,
     texts: Vec<TextId>,
-    judged: bool,
-    cut_short: bool,
+    /// An outcome of the call has been counted in the health of its route.
+    assessed: bool,
+    /// The time-out was shortened by the end of a text's validity.
+    timeout_shortened: bool,
 }
 
+/// State of a route or an endpoint. Stored under the names given by the attributes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-enum State {
+enum HealthState {
+    /// Calls are limited by the window and the pace only.
     #[default]
-    Sound,
+    #[serde(rename = "Sound")]
+    Healthy,
+    /// Only trial calls are made.
     Down,
-    /// Answering again after an outage, and cold.
-    Back,
+    /// Answers again after an outage, and is still cold.
+    #[serde(rename = "Back")]
+    Recovering,
 }
 
-/// What a sender's own calls say of a lane or an endpoint.
+/// Health of a route or an endpoint as seen by this sender's own calls.
 #[derive(Clone, Default, Serialize, Deserialize)]
 struct Health {
-    state: State,
+    state: HealthState,
+    /// When the state was entered.
     since: Moment,
+    /// When the next call may be made, unless healthy.
     next: Moment,
-    gap: Span,
-    strikes: u32,
-    struck_at: Moment,
+    /// Interval between trial calls while down.
+    #[serde(rename = "gap")]
+    trial_interval: Span,
+    /// Failures since the last success, weighted; halved by a success while not healthy.
+    #[serde(rename = "strikes")]
+    consecutive_failures: u32,
+    #[serde(rename = "struck_at")]
+    last_failure_at: Moment,
     last_ok: Moment,
 }
 
 impl Health {
-    /// From when on a call may go out, if no outcome has to come first.
-    fn opens(&self, out: usize) -> Option<Moment> {
+    /// When the next call may be made; none while an outcome has to come first.
+    fn opens_at(&self, calls_out: usize) -> Option<Moment> {
         match self.state {
-            State::Sound => Some(Moment::default()),
-            State::Down => (out == 0).then_some(self.next),
-            State::Back => Some(self.next),
+            HealthState::Healthy => Some(Moment::default()),
+            HealthState::Down => (calls_out == 0).then_some(self.next),
+            HealthState::Recovering => Some(self.next),
         }
     }
 
-    fn failed(&mut self, now: Moment, sent: Moment, weight: u32, silent: bool, jitter: f64) {
-        if self.state == State::Down {
-            // Only trials lengthen the pause; calls that were out when the outage was noticed do not.
+    /// Counts the failure of a call that was sent at `sent`. `silent` says that it timed out.
+    fn record_failure(&mut self, now: Moment, sent: Moment, weight: u32, silent: bool, jitter: f64) {
+        if self.state == HealthState::Down {
+            // Only trial calls lengthen the interval; calls that were out when the outage was noticed do
+            // not.
             if sent < self.since {
                 return;
             }
-            self.gap = (self.gap * TRIAL_GROWTH).min(LONGEST_TRIAL);
-            self.next = self.next.max(now + self.gap * jitter);
+            self.trial_interval = (self.trial_interval * TRIAL_INTERVAL_GROWTH).min(MAX_TRIAL_INTERVAL);
+            self.next = self.next.max(now + self.trial_interval * jitter);
             return;
         }
-        // An answer that came after this call had left shows the receiver alive: a single loss is no outage.
-        // Calls from before the last strike tell of the same trouble again; but two time-outs are silence.
-        if self.last_ok >= sent || (sent < self.struck_at && !silent) {
+        // An answer received after this call was sent shows that the receiver is alive, so a single loss is
+        // not an outage. Calls sent before the last failure report the same trouble again, but two
+        // time-outs mean silence.
+        if self.last_ok >= sent || (sent < self.last_failure_at && !silent) {
             return;
         }
-        // Where calls are rare six strikes would outlast most outages.
-        let rare = weight == 1 && self.strikes > 0 && now.since(self.struck_at) >= FAR_APART;
-        self.strikes += if rare { 2 * weight } else { weight };
-        self.struck_at = now;
-        if self.strikes >= STRIKES_OUT {
-            (self.state, self.since, self.gap) = (State::Down, now, FIRST_TRIAL);
-            self.next = now + self.gap * jitter;
+        // Where calls are rare, six separate failures would take longer than most outages last.
+        let sparse_failure = weight == 1
+            && self.consecutive_failures > 0
+            && now.since(self.last_failure_at) >= SPARSE_FAILURE_GAP;
+        self.consecutive_failures += if sparse_failure { 2 * weight } else { weight };
+        self.last_failure_at = now;
+        if self.consecutive_failures >= FAILURES_UNTIL_DOWN {
+            (self.state, self.since, self.trial_interval) = (HealthState::Down, now, INITIAL_TRIAL_INTERVAL);
+            self.next = now + self.trial_interval * jitter;
         }
     }
 
-    fn succeeded(&mut self, now: Moment, turn: Span, cold: Span) {
+    /// Counts a success. A recovering receiver gets its next call after `turn_delay` and is healthy again
+    /// after `cold`.
+    fn record_success(&mut self, now: Moment, turn_delay: Span, cold: Span) {
         self.last_ok = now;
-        // One success among failures is no end of an outage.
-        self.strikes = if self.state == State::Sound { 0 } else { self.strikes / 2 };
-        if self.state == State::Down {
-            (self.state, self.since, self.next) = (State::Back, now, now + turn);
-        } else if self.state == State::Back && now.since(self.since) >= cold {
-            self.state = State::Sound;
+        // A single success among failures does not end an outage.
+        self.consecutive_failures =
+            if self.state == HealthState::Healthy { 0 } else { self.consecutive_failures / 2 };
+        if self.state == HealthState::Down {
+            (self.state, self.since, self.next) = (HealthState::Recovering, now, now + turn_delay);
+        } else if self.state == HealthState::Recovering && now.since(self.since) >= cold {
+            self.state = HealthState::Healthy;
         }
     }
 }
 
+/// An endpoint of the list and what is known of it. Stored under the names given by the attributes.
 #[derive(Clone, Default, Serialize, Deserialize)]
 struct Endpoint {
     dest: DestId,
@@ -239,8 +308,9 @@
     zone: ZoneId,
     units: f64,
     running: bool,
-    /// Taken out by the operators, whatever the list says of it.
-    by_hand: bool,
+    /// Taken out of service by the operators, whatever the list says.
+    #[serde(rename = "by_hand")]
+    taken_out: bool,
     #[serde(skip)]
     calls: BTreeSet<u64>,
     last_used: Moment,
@@ -249,122 +319,156 @@
 
 impl Endpoint {
     fn serves(&self) -> bool {
-        self.running && !self.by_hand
+        self.running && !self.taken_out
     }
 }
 
-/// The window of one destination, or of one route where routes are apart.
+/// Flow control state of a route. A route is a whole destination, or one endpoint of it where the endpoints
+/// of its kind fail independently of each other ([`Kind::routes_apart`]).
 #[derive(Clone, Default, Serialize, Deserialize)]
-struct Lane {
+struct Route {
+    /// Calls that may be out at once, adjusted by additive increase and multiplicative decrease.
     window: usize,
+    /// Deliveries since the window last changed.
     delivered: usize,
     #[serde(skip)]
     calls: BTreeSet<u64>,
+    /// End of the retry-after time that the receiver gave.
     wait_until: Moment,
+    /// When the window was last reduced.
     cut_at: Moment,
     last_used: Moment,
     health: Health,
-    /// Usual, recent and spread of answer times in milliseconds; 0 while nothing is known.
+    /// Usual (slowly averaged), recent (quickly averaged) answer time and its mean deviation, in
+    /// milliseconds; 0 while nothing is known.
     usual: f64,
     recent: f64,
     spread: f64,
+    /// Answer times have risen sharply.
     slow: bool,
+    /// Time-outs since the last delivery; they lengthen the next time-out.
     time_outs: u32,
-    told_rate: f64,
-    /// Calls a second that this sender allows itself; 0 while nothing limits it.
+    /// Calls a second that the receiver reports as its limit; 0 if it reports none.
+    #[serde(rename = "told_rate")]
+    reported_rate: f64,
+    /// Calls a second that this sender allows itself; 0 while it is not limited.
     pace: f64,
-    paced: Moment,
+    /// When the pace allows the next call.
+    #[serde(rename = "paced")]
+    next_paced_call: Moment,
 }
 
-type LaneId = (DestId, Option<EndpointId>);
+/// A destination, and the endpoint where its endpoints fail independently.
+type RouteId = (DestId, Option<EndpointId>);
 
-/// What a process has learnt, for the one that takes its place. Texts and the list are told by events.
+/// What a process has learned and hands over to its successor. Texts and the list of endpoints are handed
+/// over as events. Stored under the names given by the attributes.
 #[derive(Serialize, Deserialize)]
 pub struct LearnedState {
     endpoints: BTreeMap<EndpointId, Endpoint>,
-    lanes: BTreeMap<LaneId, Lane>,
-    lost: BTreeMap<KindId, Moment>,
-    asked: Vec<(DestId, f64, Moment)>,
-    rests: Vec<(KeyId, Moment)>,
+    #[serde(rename = "lanes")]
+    routes: BTreeMap<RouteId, Route>,
+    #[serde(rename = "lost")]
+    connection_lost_at: BTreeMap<KindId, Moment>,
+    #[serde(rename = "asked")]
+    arrivals: Vec<(DestId, f64, Moment)>,
+    #[serde(rename = "rests")]
+    key_pauses: Vec<(KeyId, Moment)>,
     started: Option<Moment>,
 }
 
+/// Decides what is submitted when and where, from events alone: it reads no clock and does no input or
+/// output.
 #[derive(Default)]
 pub struct Rules {
     settings: Settings,
     chance: Chance,
     endpoints: BTreeMap<EndpointId, Endpoint>,
-    lanes: BTreeMap<LaneId, Lane>,
+    routes: BTreeMap<RouteId, Route>,
     holds: BTreeMap<DestId, Hold>,
     texts: BTreeMap<TextId, Text>,
-    keys: BTreeMap<KeyId, KeyLine>,
+    keys: BTreeMap<KeyId, KeyQueue>,
     calls: BTreeMap<u64, Call>,
     next_call: u64,
-    dues: BTreeSet<(Moment, Due)>,
-    /// Destinations of which something has changed, and those that may send, best first.
-    touched: BTreeSet<DestId>,
-    /// The lanes that answered last, when, and how far their answer times had risen.
-    risen: VecDeque<(Moment, LaneId, f64)>,
-    line: BTreeSet<Rank>,
+    timers: BTreeSet<(Moment, Timer)>,
+    /// Destinations that have to be looked at again because something changed.
+    changed_dests: BTreeSet<DestId>,
+    /// When each recently active route last answered, and by which factor its answer times had risen.
+    recent_rises: VecDeque<(Moment, RouteId, f64)>,
+    /// Destinations that may send, best first.
+    candidates: BTreeSet<Rank>,
     held: usize,
-    /// When a call to a kind of destination last found no connection, or was lost on one that had rested.
-    lost: BTreeMap<KindId, Moment>,
-    /// When one last turned a call away for want of room for its connection, it seems.
-    crowded: BTreeMap<KindId, Moment>,
-    longest: BTreeSet<(usize, DestId)>,
-    asks_failed: u32,
-    /// When the list may be acted on no more.
-    list_until: Option<Moment>,
-    /// Another process takes over: nothing new goes out.
-    quiet: bool,
+    /// When a call to a kind of destination last failed to connect, or was lost on a connection that had
+    /// been idle.
+    connection_lost_at: BTreeMap<KindId, Moment>,
+    /// When a receiver of this kind last rejected a call, presumably because it had no room for its
+    /// connection.
+    connections_full_at: BTreeMap<KindId, Moment>,
+    /// Destinations by the number of texts held for them.
+    holds_by_size: BTreeSet<(usize, DestId)>,
+    failed_subscribes: u32,
+    /// End of the lease under which the list may be used.
+    list_valid_until: Option<Moment>,
+    /// Another process is taking over, so nothing new is submitted.
+    submits_paused: bool,
     started: Option<Moment>,
     now: Moment,
     actions: Vec<Action>,
 }
 
-impl Lane {
-    fn cap(&self, slots: usize) -> usize {
-        let sick = self.slow || self.health.state != State::Sound || self.health.strikes > 0;
+impl Route {
+    /// Upper limit of the window: a part of all slots, and a smaller one while the route is not healthy.
+    fn max_window(&self, slots: usize) -> usize {
+        let sick =
+            self.slow || self.health.state != HealthState::Healthy || self.health.consecutive_failures > 0;
         (if sick { slots / 2 } else { slots * 3 / 4 }).max(1)
     }
 
-    fn opens(&self, slots: usize) -> Option<Moment> {
-        let healthy = self.health.opens(self.calls.len())?;
-        let room = self.calls.len() < self.window.min(self.cap(slots));
-        room.then(|| self.wait_until.max(self.paced - PACE_EARLY).max(healthy))
+    /// When the next call may be made; none while the window is full or an outcome has to come first.
+    fn opens_at(&self, slots: usize) -> Option<Moment> {
+        let healthy = self.health.opens_at(self.calls.len())?;
+        let room = self.calls.len() < self.window.min(self.max_window(slots));
+        room.then(|| self.wait_until.max(self.next_paced_call - PACE_TOLERANCE).max(healthy))
     }
 
-    /// One overload answers many calls at once; those that left before the last cut count with it.
-    fn cut(&mut self, now: Moment, sent: Moment) {
+    /// One overload affects many calls at once, so calls sent before the last reduction do not reduce the
+    /// window again.
+    fn shrink_window(&mut self, now: Moment, sent: Moment) {
         if sent >= self.cut_at {
             (self.window, self.delivered, self.cut_at) = ((self.window / 2).max(1), 0, now);
         }
     }
 
-    fn grow(&mut self, slots: usize) {
+    /// Grows the window by one call after as many deliveries as it has calls.
+    fn grow_window(&mut self, slots: usize) {
         self.delivered += 1;
         if self.delivered >= self.window {
-            (self.window, self.delivered) = ((self.window + 1).min(self.cap(slots)), 0);
+            (self.window, self.delivered) = ((self.window + 1).min(self.max_window(slots)), 0);
         }
     }
 
-    fn learn(&mut self, latency: f64, common: f64) -> bool {
+    /// Updates the averages of the answer times and returns whether they have risen sharply beyond the
+    /// `common` rise.
+    fn record_latency(&mut self, latency: f64, common: f64) -> bool {
         if self.usual == 0.0 {
             (self.usual, self.recent, self.spread) = (latency, latency, latency / 2.0);
         }
         self.spread += ((latency - self.recent).abs() - self.spread) / 8.0;
         self.usual += (latency - self.usual) / 32.0;
         self.recent += (latency - self.recent) / 4.0;
-        self.slow = self.recent > self.usual * RISEN * common && self.recent > self.usual * common + RISEN_BY;
+        self.slow = self.recent > self.usual * SLOW_FACTOR * common
+            && self.recent > self.usual * common + SLOW_MARGIN_MS;
         self.slow
     }
 
-    /// How long an answer may take before its lack is taken for silence.
-    fn patience(&self) -> Span {
-        let usual = Span::from_millis((self.recent + self.spread) * SILENT_TIMES);
-        if self.recent > 0.0 { usual.max(SILENT_AT_LEAST) } else { SILENT_AT_LEAST * 2.0 }
+    /// How long a call may be unanswered before its receiver counts as silent.
+    fn silence_limit(&self) -> Span {
+        let usual = Span::from_millis((self.recent + self.spread) * SILENCE_FACTOR);
+        if self.recent > 0.0 { usual.max(MIN_SILENCE) } else { MIN_SILENCE * 2.0 }
     }
 
+    /// Time-out of a call: the SLA time or the expected answer time, doubled for each recent time-out up to
+    /// twice.
     fn time_out(&self, sla_time: Span) -> Span {
         let expected = Span::from_millis(self.recent + 6.0 * self.spread);
         sla_time.max(expected) * f64::from(1 << self.time_outs.min(2))
@@ -372,95 +476,112 @@
 }
 
 impl Rules {
+    /// Starts without texts, endpoints or earlier state; `seed` determines all random choices.
     pub fn new(settings: Settings, seed: u64) -> Rules {
         Rules { settings, chance: Chance::new(seed), ..Rules::default() }
     }
 
+    /// What a successor needs beside the texts and the list.
     pub fn learned_state(&self) -> LearnedState {
-        let rests = self.keys.iter().filter_map(|(id, key)| Some((*id, key.rest_until?)));
-        let asked = self.holds.iter().map(|(id, hold)| (*id, hold.asked, hold.asked_at)).collect();
-        let (endpoints, lanes, lost) = (self.endpoints.clone(), self.lanes.clone(), self.lost.clone());
-        LearnedState { endpoints, lanes, lost, asked, rests: rests.collect(), started: self.started }
+        let key_pauses = self.keys.iter().filter_map(|(id, key)| Some((*id, key.paused_until?)));
+        let arrivals = self.holds.iter().map(|(id, hold)| (*id, hold.arrivals, hold.arrivals_at)).collect();
+        let (endpoints, routes, connection_lost_at) =
+            (self.endpoints.clone(), self.routes.clone(), self.connection_lost_at.clone());
+        LearnedState {
+            endpoints,
+            routes,
+            connection_lost_at,
+            arrivals,
+            key_pauses: key_pauses.collect(),
+            started: self.started,
+        }
     }
 
-    /// Goes on with what another process has learnt, of which no call is out any more.
-    pub fn successor(settings: Settings, seed: u64, learnt: LearnedState) -> Rules {
-        let LearnedState { endpoints, lanes, lost, asked, rests, started } = learnt;
-        let mut rules = Rules { endpoints, lanes, lost, started, ..Rules::new(settings, seed) };
+    /// Continues from the state of another process, which has no call out any more.
+    pub fn successor(settings: Settings, seed: u64, learned: LearnedState) -> Rules {
+        let LearnedState { endpoints, routes, connection_lost_at, arrivals, key_pauses, started } = learned;
+        let mut rules =
+            Rules { endpoints, routes, connection_lost_at, started, ..Rules::new(settings, seed) };
         rules.endpoints.values_mut().for_each(|at| at.running = false);
-        let hold = |(dest, asked, asked_at)| (dest, Hold { asked, asked_at, ..Hold::default() });
-        rules.holds.extend(asked.into_iter().map(hold));
-        for (id, until) in rests {
-            rules.keys.insert(id, KeyLine { rest_until: Some(until), ..KeyLine::default() });
-            rules.dues.insert((until, Due::Key(id)));
+        let hold = |(dest, arrivals, arrivals_at)| (dest, Hold { arrivals, arrivals_at, ..Hold::default() });
+        rules.holds.extend(arrivals.into_iter().map(hold));
+        for (id, until) in key_pauses {
+            rules.keys.insert(id, KeyQueue { paused_until: Some(until), ..KeyQueue::default() });
+            rules.timers.insert((until, Timer::ReleaseKey(id)));
         }
         let now = Moment::default();
-        rules.dues.extend(rules.endpoints.keys().map(|id| (now, Due::Unlisted(*id))));
-        rules.dues.extend(rules.lanes.keys().map(|id| (now, Due::Idle(*id))));
+        rules.timers.extend(rules.endpoints.keys().map(|id| (now, Timer::DropUnlisted(*id))));
+        rules.timers.extend(rules.routes.keys().map(|id| (now, Timer::DropIdleRoute(*id))));
         rules
     }
 
-    /// Takes all that happened at `now`, in order, and returns what to do about it, in order.
+    /// Processes the events of the moment `now` in order and returns the actions to take, in order.
     pub fn step(&mut self, now: Moment, events: Vec<Event>) -> Vec<Action> {
-        let mut beat = self.now == Moment::default();
+        let mut tick_due = self.now == Moment::default();
         self.now = now;
         self.started.get_or_insert(now);
-        self.actions.extend((beat && self.settings.must_subscribe).then_some(Action::Subscribe { on: true }));
+        self.actions
+            .extend((tick_due && self.settings.must_subscribe).then_some(Action::Subscribe { on: true }));
         for event in events {
             match event {
-                Event::ListReceived { scope, entries } => self.listed(scope, entries),
-                Event::Accepted(handed) => self.taken(handed, None, false),
-                Event::Resumed(handed, past) => self.taken(handed, Some(past), false),
-                Event::UnreportedEnd(handed) => self.taken(handed, Some(SubmitHistory::default()), true),
+                Event::ListReceived { scope, entries } => self.list_received(scope, entries),
+                Event::Accepted(accepted) => self.accept_text(accepted, None, false),
+                Event::Resumed(accepted, history) => self.accept_text(accepted, Some(history), false),
+                Event::UnreportedEnd(accepted) => {
+                    self.accept_text(accepted, Some(SubmitHistory::default()), true)
+                }
                 Event::EndReported(id) | Event::Withdrawn(id) => {
-                    self.texts.get_mut(&id).into_iter().for_each(|text| text.untold = false);
-                    self.end(id);
+                    self.texts.get_mut(&id).into_iter().for_each(|text| text.end_unreported = false);
+                    self.end_text(id);
                 }
-                Event::Outcome(outcome) => self.outcome(outcome),
-                Event::Maintenance { endpoint, out_of_service } => self.maintained(endpoint, out_of_service),
+                Event::Outcome(outcome) => self.handle_outcome(outcome),
+                Event::Maintenance { endpoint, out_of_service } => self.maintenance(endpoint, out_of_service),
                 Event::Settings(settings) => self.settings = settings,
-                Event::PauseSubmits(on) => self.quiet = on,
-                Event::ListLease(until) => self.list_leased(until),
-                Event::TimerFired => beat = true,
+                Event::PauseSubmits(on) => self.submits_paused = on,
+                Event::ListLease(until) => self.list_lease_changed(until),
+                Event::TimerFired => tick_due = true,
                 _ => {}
             }
         }
-        while let Some(&(at, due)) = self.dues.first()
+        while let Some(&(at, timer)) = self.timers.first()
             && at <= now
         {
-            self.dues.pop_first();
-            self.due(due);
+            self.timers.pop_first();
+            self.fire(timer);
         }
-        self.actions.extend(beat.then(|| Action::WakeAt(now + BEAT.max(self.settings.tick))));
+        self.actions.extend(tick_due.then(|| Action::WakeAt(now + TICK_INTERVAL.max(self.settings.tick))));
         self.dispatch();
         self.make_room();
         std::mem::take(&mut self.actions)
     }
 
-    /// Whether nothing new but a trial goes to an endpoint, by hand, by the list or by what its calls told.
+    /// Whether only trial calls are sent to an endpoint: it is out of service, not running, or down.
     pub fn avoids(&self, endpoint: EndpointId) -> bool {
         let Some(at) = self.endpoints.get(&endpoint) else { return false };
-        let lane = self.lanes.get(&self.lane_of(endpoint)).map(|lane| lane.health.state);
-        !at.serves() || [Some(at.health.state), lane].contains(&Some(State::Down))
+        let route = self.routes.get(&self.route_of(endpoint)).map(|route| route.health.state);
+        !at.serves() || [Some(at.health.state), route].contains(&Some(HealthState::Down))
     }
 
-    /// The window of each lane, for those who draw it; nothing is decided by it outside.
+    /// The window of each route, for display only.
     pub fn windows(&self) -> impl Iterator<Item = (DestId, usize)> {
-        self.lanes.iter().map(|(id, lane)| (id.0, lane.window))
+        self.routes.iter().map(|(id, route)| (id.0, route.window))
     }
 
-    fn listed(&mut self, scope: Scope, entries: Vec<Entry>) {
+    /// Applies a new list or a change of it, or schedules the next attempt after a failure.
+    fn list_received(&mut self, scope: Scope, entries: Vec<Entry>) {
         if scope == Scope::Error {
-            // Asking costs the registry work, and all senders may have been turned away together.
-            self.asks_failed += 1;
-            let pause = FIRST_ASK * f64::from(1 << (self.asks_failed - 1).min(6));
-            let pause = pause.min(self.settings.must_ask_in.max(FIRST_ASK)) * (0.5 + self.chance.share());
-            return self.dues.extend([(self.now + pause, Due::Ask)]);
+            // Subscribing costs the registry work, and all senders may have been rejected together, so the
+            // delay grows and has jitter.
+            self.failed_subscribes += 1;
+            let pause = INITIAL_SUBSCRIBE_BACKOFF * f64::from(1 << (self.failed_subscribes - 1).min(6));
+            let pause = pause.min(self.settings.must_ask_in.max(INITIAL_SUBSCRIBE_BACKOFF))
+                * (0.5 + self.chance.share());
+            return self.timers.extend([(self.now + pause, Timer::Subscribe)]);
         }
-        self.asks_failed = 0;
+        self.failed_subscribes = 0;
         if scope != Scope::Partial {
             self.endpoints.values_mut().for_each(|e| e.running = false);
-            self.touched.extend(self.holds.keys());
+            self.changed_dests.extend(self.holds.keys());
         }
         for entry in entries {
             let Entry { dest, kind, zone, .. } = entry;
@@ -471,180 +592,198 @@
             if !hold.endpoints.contains(&entry.endpoint) {
                 hold.endpoints.push(entry.endpoint);
             }
-            self.touched.insert(endpoint.dest);
+            self.changed_dests.insert(endpoint.dest);
             (endpoint.units, endpoint.running) = (entry.units, entry.condition == Condition::Running);
         }
-        let mut withheld = Vec::new();
-        for dest in &self.touched {
+        let mut cancelled = Vec::new();
+        for dest in &self.changed_dests {
             let hold = self.holds.get_mut(dest).expect("what is touched has a hold");
             for id in hold.endpoints.extract_if(.., |id| !self.endpoints[id].serves()) {
-                self.dues.insert((self.now + QUIET_SPELL, Due::Unlisted(id)));
-                withheld.extend(&self.endpoints[&id].calls);
+                self.timers.insert((self.now + IDLE_STATE_TTL, Timer::DropUnlisted(id)));
+                cancelled.extend(&self.endpoints[&id].calls);
             }
         }
-        self.withhold(withheld);
+        self.cancel_unsent(cancelled);
     }
 
-    /// Guards against calls to an endpoint of which the sender counts as told, by a list that it was not told anew.
-    fn list_leased(&mut self, until: Option<Moment>) {
+    /// Limits the use of the list to its lease. Without that, a sender whose lease has run out would go on
+    /// calling endpoints by a list that was not renewed, although others count it as informed.
+    fn list_lease_changed(&mut self, until: Option<Moment>) {
         if let Some(until) = until {
-            self.dues.insert((until, Due::ListLapses));
+            self.timers.insert((until, Timer::ListLeaseEnds));
         }
-        self.list_until = until;
+        self.list_valid_until = until;
     }
 
-    fn list_is_good(&self) -> bool {
-        self.list_until.is_none_or(|until| self.now < until)
+    /// Whether the list may still be used.
+    fn list_lease_valid(&self) -> bool {
+        self.list_valid_until.is_none_or(|until| self.now < until)
     }
 
-    /// Guards against calls decided before a wait, a drain or an order was told that leave long after it, as
-    /// their connections took so long to come up.
-    fn withhold(&mut self, calls: Vec<u64>) {
+    /// Cancels calls that have not been sent yet. Without that, a call decided before a retry-after time, a
+    /// drain or an operator's order could be sent long after it, because its connection took so long to
+    /// establish.
+    fn cancel_unsent(&mut self, calls: Vec<u64>) {
         for call in calls {
             for id in &self.calls[&call].texts {
-                if let Some(text) = self.texts.get(id).filter(|text| text.out == Some(call)) {
+                if let Some(text) = self.texts.get(id).filter(|text| text.current_call == Some(call)) {
                     self.actions.push(Action::CancelUnsent { text: *id, submit: text.submits - 1 });
                 }
             }
         }
     }
 
-    /// What operators took out was most likely restarted meanwhile: it comes back cold, as from an outage.
-    fn maintained(&mut self, id: EndpointId, out: bool) {
-        let Some(at) = self.endpoints.get_mut(&id).filter(|at| at.by_hand != out) else { return };
-        at.by_hand = out;
+    /// Takes an endpoint out of service or puts it back. It was most likely restarted meanwhile, so it
+    /// comes back cold, as after an outage.
+    fn maintenance(&mut self, id: EndpointId, out: bool) {
+        let Some(at) = self.endpoints.get_mut(&id).filter(|at| at.taken_out != out) else { return };
+        at.taken_out = out;
         let (dest, serves) = (at.dest, at.serves());
         let hold = self.holds.get_mut(&dest).expect("an endpoint has the hold of its destination");
         hold.endpoints.retain(|other| *other != id);
         hold.endpoints.extend(serves.then_some(id));
         if out {
-            self.withhold(self.endpoints[&id].calls.iter().copied().collect());
+            self.cancel_unsent(self.endpoints[&id].calls.iter().copied().collect());
         } else {
-            let next = self.now + self.turn(self.lane_of(id));
-            let back = Health { state: State::Back, since: self.now, next, ..Health::default() };
+            let next = self.now + self.turn_delay(self.route_of(id));
+            let back = Health { state: HealthState::Recovering, since: self.now, next, ..Health::default() };
             self.endpoints.get_mut(&id).expect("looked at").health = back;
         }
-        self.touched.insert(dest);
+        self.changed_dests.insert(dest);
     }
 
-    /// What was handed in before a restart is no demand of now; what of it may not go again ends at once.
-    fn taken(&mut self, handed: AcceptedText, past: Option<SubmitHistory>, untold: bool) {
-        let AcceptedText { text: id, product, dest, key, valid_until } = handed;
-        let (resumed, SubmitHistory { submits, first_in_doubt }) = (past.is_some(), past.unwrap_or_default());
+    /// Accepts a new text, or one of an earlier process. Texts accepted before a restart do not count as
+    /// current demand; those that may not be submitted again end at once.
+    fn accept_text(&mut self, accepted: AcceptedText, history: Option<SubmitHistory>, end_unreported: bool) {
+        let AcceptedText { text: id, product, dest, key, valid_until } = accepted;
+        let (resumed, SubmitHistory { submits, first_in_doubt }) =
+            (history.is_some(), history.unwrap_or_default());
         let key = key.filter(|_| self.settings.products[product.0].in_order);
-        let (place, out, alone) = (Place::Behind, None, false);
+        let (stage, current_call, unbatched) = (Stage::BehindKey, None, false);
         let text = Text {
             dest,
             product,
             key,
             valid_until,
             submits,
-            out,
+            current_call,
             first_in_doubt,
-            untold,
-            alone,
+            end_unreported,
+            unbatched,
             resumed,
-            place,
+            stage,
         };
-        self.dues.insert((valid_until - ANSWER_MARGIN, Due::End(id)));
-        self.dues.extend(self.memory_ends(&text).map(|end| (end, Due::End(id))));
-        let over = !untold && !self.may_go_again(&text);
+        self.timers.insert((valid_until - ANSWER_MARGIN, Timer::EndText(id)));
+        self.timers.extend(self.memory_ends(&text).map(|end| (end, Timer::EndText(id))));
+        let over = !end_unreported && !self.may_submit(&text);
         self.texts.insert(id, text);
         let now = self.now;
         let hold = self.holds.entry(dest).or_default();
-        (hold.asked, hold.asked_at) = (hold.asked * hold.faded(now) + f64::from(u8::from(!resumed)), now);
-        // What was out alone tells of no outage, or not of one that is over.
-        hold.gentle =
-            hold.gentle.max((resumed && !untold).then_some(submits != 1 || first_in_doubt.is_none()));
+        (hold.arrivals, hold.arrivals_at) =
+            (hold.arrivals * hold.decay(now) + f64::from(u8::from(!resumed)), now);
+        // A single submit that was still out is no sign of an outage, or only of one that is over.
+        hold.resumed_unclear = hold
+            .resumed_unclear
+            .max((resumed && !end_unreported).then_some(submits != 1 || first_in_doubt.is_none()));
         self.count_held(dest, 1);
-        self.put(id, Place::Behind);
+        self.set_stage(id, Stage::BehindKey);
         match key {
-            None => self.put(id, Place::Fresh),
+            None => self.set_stage(id, Stage::Fresh),
             Some(key) => {
                 let keyed = self.keys.entry(key).or_default();
-                keyed.line.push_back(id);
-                // The process before may have ended a moment ago, with a call out.
-                let rests = first_in_doubt.map(|_| now + self.settings.rest_after_doubt);
-                keyed.rest_until = keyed.rest_until.max(rests);
-                self.advance(key);
+                keyed.queue.push_back(id);
+                // The previous process may have ended only a moment ago with a call out.
+                let key_pauses = first_in_doubt.map(|_| now + self.settings.rest_after_doubt);
+                keyed.paused_until = keyed.paused_until.max(key_pauses);
+                self.advance_key(key);
             }
         }
         if over {
             self.give_up(id);
-        } else if untold {
-            self.end(id);
+        } else if end_unreported {
+            self.end_text(id);
         }
     }
 
+    /// Adjusts the number of held texts of a destination and of all.
     fn count_held(&mut self, dest: DestId, by: isize) {
         let hold = self.holds.get_mut(&dest).expect("a text at hand has its hold");
-        self.longest.remove(&(hold.held, dest));
+        self.holds_by_size.remove(&(hold.held, dest));
         hold.held = hold.held.saturating_add_signed(by);
         self.held = self.held.saturating_add_signed(by);
-        self.longest.insert((hold.held, dest));
+        self.holds_by_size.insert((hold.held, dest));
     }
 
-    fn put(&mut self, id: TextId, place: Place) {
-        let fades = self.fades(&self.texts[&id]);
+    /// Moves a text to a stage and keeps the sets of its hold in step.
+    fn set_stage(&mut self, id: TextId, stage: Stage) {
+        let expires_at = self.expires_at(&self.texts[&id]);
         let text = self.texts.get_mut(&id).expect("only texts at hand are moved");
         let hold = self.holds.get_mut(&text.dest).expect("a text at hand has its hold");
-        let place = if place == Place::Fresh && text.submits > 0 { Place::Ready } else { place };
+        let stage = if stage == Stage::Fresh && text.submits > 0 { Stage::RetryReady } else { stage };
         hold.fresh.remove(&id);
-        hold.ready.remove(&id);
-        hold.sure.remove(&id);
-        fades.map(|end| hold.fading.remove(&(end, id)));
-        if matches!(place, Place::Fresh | Place::Ready) {
-            if place == Place::Fresh { &mut hold.fresh } else { &mut hold.ready }.insert(id);
-            hold.fading.extend(fades.map(|end| (end, id)));
+        hold.retry_ready.remove(&id);
+        hold.evictable.remove(&id);
+        expires_at.map(|end| hold.expiring.remove(&(end, id)));
+        if matches!(stage, Stage::Fresh | Stage::RetryReady) {
+            if stage == Stage::Fresh { &mut hold.fresh } else { &mut hold.retry_ready }.insert(id);
+            hold.expiring.extend(expires_at.map(|end| (end, id)));
         }
-        let untried = text.resumed && text.submits == 0;
-        if !matches!(place, Place::Out | Place::Ended) && text.first_in_doubt.is_none() && !untried {
-            hold.sure.insert(id);
+        let never_submitted = text.resumed && text.submits == 0;
+        if !matches!(stage, Stage::Submitted | Stage::Ended)
+            && text.first_in_doubt.is_none()
+            && !never_submitted
+        {
+            hold.evictable.insert(id);
         }
-        self.touched.insert(text.dest);
-        let (dest, was) = (text.dest, std::mem::replace(&mut text.place, place));
-        if place == Place::Ended && was != Place::Ended {
+        self.changed_dests.insert(text.dest);
+        let (dest, was) = (text.dest, std::mem::replace(&mut text.stage, stage));
+        if stage == Stage::Ended && was != Stage::Ended {
             self.count_held(dest, -1);
         }
     }
 
-    /// Gives the turn of a key to the next text in line, once the last is ended and its submits known.
-    fn advance(&mut self, key: KeyId) {
+    /// Makes the next text of a key ready once the previous one has ended and the outcomes of its submits
+    /// are known.
+    fn advance_key(&mut self, key: KeyId) {
         let Some(keyed) = self.keys.get_mut(&key) else { return };
-        while keyed.line.front().is_some_and(|id| !self.texts.contains_key(id)) {
-            keyed.line.pop_front();
+        while keyed.queue.front().is_some_and(|id| !self.texts.contains_key(id)) {
+            keyed.queue.pop_front();
         }
-        match (keyed.rest_until.filter(|until| *until > self.now), keyed.line.front().copied()) {
-            (Some(until), _) => _ = self.dues.insert((until, Due::Key(key))),
+        match (keyed.paused_until.filter(|until| *until > self.now), keyed.queue.front().copied()) {
+            (Some(until), _) => _ = self.timers.insert((until, Timer::ReleaseKey(key))),
             (None, None) => _ = self.keys.remove(&key),
-            (None, Some(first)) if self.texts[&first].place == Place::Behind => self.put(first, Place::Fresh),
+            (None, Some(first)) if self.texts[&first].stage == Stage::BehindKey => {
+                self.set_stage(first, Stage::Fresh)
+            }
             (None, Some(_)) => {}
         }
     }
 
-    /// Nothing further is sent for the text; submits still out keep its place in the key's line.
-    fn end(&mut self, id: TextId) {
+    /// Ends a text: nothing further is sent for it. While a submit of it is out it stays first in the queue
+    /// of its key.
+    fn end_text(&mut self, id: TextId) {
         if !self.texts.contains_key(&id) {
             return;
         }
-        self.put(id, Place::Ended);
+        self.set_stage(id, Stage::Ended);
         let text = &self.texts[&id];
         let key = text.key;
-        if text.out.is_none() && !text.untold {
+        if text.current_call.is_none() && !text.end_unreported {
             self.texts.remove(&id);
         }
-        key.into_iter().for_each(|key| self.advance(key));
+        key.into_iter().for_each(|key| self.advance_key(key));
     }
 
     fn repeat(&self, text: &Text) -> Repeat {
         self.settings.products[text.product.0].repeat
     }
 
-    /// When it is too late for a text that must not wait for fresh ones until then.
-    fn fades(&self, text: &Text) -> Option<Moment> {
+    /// When it is too late for a text that must not wait behind fresh ones until then.
+    fn expires_at(&self, text: &Text) -> Option<Moment> {
         if text.resumed && text.submits == 0 { Some(text.valid_until) } else { self.memory_ends(text) }
     }
 
+    /// When a text in doubt may no longer be sent again, as its receiver is about to forget it.
     fn memory_ends(&self, text: &Text) -> Option<Moment> {
         match (self.repeat(text), text.first_in_doubt) {
             (Repeat::Referenced { memory, .. }, Some((sent, _))) => Some(sent + memory - MEMORY_MARGIN),
@@ -652,16 +791,17 @@
         }
     }
 
-    /// Whether these texts of one call may travel on a connection that carries other calls.
+    /// Whether a call with these texts may use a connection that carries other calls.
     fn may_share_connection(&self, kind: KindId, texts: &[TextId]) -> bool {
         let bears = |id: &TextId| {
             let text = &self.texts[id];
-            !text.alone && connection_sharing::bears_doubt(self.repeat(text))
+            !text.unbatched && connection_sharing::bears_doubt(self.repeat(text))
         };
         self.settings.kinds[kind.0].texts_per_call > 1 && texts.iter().all(bears)
     }
 
-    fn may_go_again(&self, text: &Text) -> bool {
+    /// Whether one more submit of the text is allowed.
+    fn may_submit(&self, text: &Text) -> bool {
         let once_only = self.repeat(text) == Repeat::OnceOnly;
         text.submits < self.settings.products[text.product.0].max_submits
             && !(once_only && text.first_in_doubt.is_some())
@@ -669,285 +809,321 @@
             && self.now < text.valid_until - ANSWER_MARGIN
     }
 
+    /// Ends a text that was not delivered: with a nack if the client may safely hand it in again, else as
+    /// undeliverable.
     fn give_up(&mut self, id: TextId) {
         let text = &self.texts[&id];
-        let lanes = self.lanes.range((text.dest, None)..=(text.dest, Some(EndpointId(usize::MAX))));
-        let until = lanes.filter_map(|(_, lane)| Some(lane.health.opens(0)?.max(lane.wait_until))).min();
+        let routes = self.routes.range((text.dest, None)..=(text.dest, Some(EndpointId(usize::MAX))));
+        let until =
+            routes.filter_map(|(_, route)| Some(route.health.opens_at(0)?.max(route.wait_until))).min();
         let wait = until.map_or(Span::ZERO, |until| until.since(self.now));
-        let advice = self.settings.longest_advice.map(|most| wait.max(FIRST_PAUSE).min(most));
-        // Whoever comes back later than the receiver remembers would have it run twice.
-        let back = self.now + advice.unwrap_or(FIRST_PAUSE);
+        let retry_after = self.settings.longest_advice.map(|most| wait.max(INITIAL_BACKOFF).min(most));
+        // A client that comes back after the receiver's deduplication memory has ended would have the text
+        // run twice.
+        let back = self.now + retry_after.unwrap_or(INITIAL_BACKOFF);
         let harmless = match self.repeat(text) {
             Repeat::Resendable => true,
             Repeat::Referenced { one_zone: true, .. } | Repeat::OnceOnly => text.first_in_doubt.is_none(),
             Repeat::Referenced { .. } => self.memory_ends(text).is_none_or(|end| back < end),
         };
-        if harmless && text.out.is_none() {
-            self.actions.push(Action::Nack { text: id, retry_after: advice });
+        if harmless && text.current_call.is_none() {
+            self.actions.push(Action::Nack { text: id, retry_after: retry_after });
         } else {
             self.actions.push(Action::Undeliverable { text: id });
         }
-        self.texts.get_mut(&id).expect("given up once").untold = true;
-        self.end(id);
+        self.texts.get_mut(&id).expect("given up once").end_unreported = true;
+        self.end_text(id);
     }
 
-    /// Guards against receivers that fill the room for all: the longest hold gives up its stalest text,
-    /// while it can be handed in again. May hurt where clients never do and the hold would soon be empty.
+    /// Gives up the oldest evictable texts of the largest hold, so that one slow receiver can't use up the
+    /// capacity for all. The client can hand them in again; where clients never do and the hold would soon
+    /// be empty, this loses texts without need.
     fn make_room(&mut self) {
-        let kept = ((self.settings.max_held as f64 * ROOM_KEPT) as usize).max(1);
+        let kept = ((self.settings.max_held as f64 * RESERVED_CAPACITY_SHARE) as usize).max(1);
         while self.held + kept > self.settings.max_held {
-            let Some(&(_, dest)) = self.longest.last() else { return };
-            let Some(&stalest) = self.holds[&dest].sure.first() else { return };
+            let Some(&(_, dest)) = self.holds_by_size.last() else { return };
+            let Some(&stalest) = self.holds[&dest].evictable.first() else { return };
             self.give_up(stalest);
         }
     }
 
-    fn reschedule(&mut self, id: TextId, told: Moment) {
+    /// Schedules the next submit with exponential back-off and jitter, or gives the text up if that would
+    /// be too late.
+    fn schedule_retry(&mut self, id: TextId, not_before: Moment) {
         let text = &self.texts[&id];
-        let pause = (FIRST_PAUSE * f64::from(1 << (text.submits.clamp(1, 16) - 1))).min(LONGEST_PAUSE);
-        let at = (self.now + pause * (0.8 + 0.4 * self.chance.share())).max(told);
+        let pause = (INITIAL_BACKOFF * f64::from(1 << (text.submits.clamp(1, 16) - 1))).min(MAX_BACKOFF);
+        let at = (self.now + pause * (0.8 + 0.4 * self.chance.share())).max(not_before);
         let memory_ends = self.memory_ends(text);
-        if !self.may_go_again(text) || at >= text.valid_until || memory_ends.is_some_and(|end| at >= end) {
+        if !self.may_submit(text) || at >= text.valid_until || memory_ends.is_some_and(|end| at >= end) {
             return self.give_up(id);
         }
-        self.dues.extend(memory_ends.map(|end| (end, Due::End(id))));
-        self.dues.insert((at, Due::Text(id)));
-        self.put(id, Place::Waiting);
+        self.timers.extend(memory_ends.map(|end| (end, Timer::EndText(id))));
+        self.timers.insert((at, Timer::RetryText(id)));
+        self.set_stage(id, Stage::BackingOff);
     }
 
-    fn due(&mut self, due: Due) {
-        let waits = |id| self.texts.get(&id).is_some_and(|text| text.place == Place::Waiting);
-        match due {
-            Due::Text(id) if !waits(id) => {}
-            Due::Text(id) => self.put(id, Place::Ready),
-            Due::End(id) => {
+    /// Handles a timer that has fired.
+    fn fire(&mut self, timer: Timer) {
+        let waits = |id| self.texts.get(&id).is_some_and(|text| text.stage == Stage::BackingOff);
+        match timer {
+            Timer::RetryText(id) if !waits(id) => {}
+            Timer::RetryText(id) => self.set_stage(id, Stage::RetryReady),
+            Timer::EndText(id) => {
                 let Some(text) = self.texts.get(&id) else { return };
-                if text.place == Place::Ended {
+                if text.stage == Stage::Ended {
                     return;
                 }
-                // The cut submit should answer first; this stands behind it should that answer fail to come.
-                // A call's texts are answered with the last of them: the time of one may be up long before.
-                let shares = text.out.is_some_and(|call| self.calls[&call].texts.len() > 1);
-                let cut = text.valid_until - CUT_MARGIN + self.settings.tick * 2.0;
+                // The submit with the shortened time-out should be answered first; this is the fallback if
+                // that answer does not come. The texts of one call are answered together when the last of
+                // them times out, so the time of a single one may be up long before.
+                let shares = text.current_call.is_some_and(|call| self.calls[&call].texts.len() > 1);
+                let cut = text.valid_until - TIMEOUT_MARGIN + self.settings.tick * 2.0;
                 let latest = if shares { text.valid_until - ANSWER_MARGIN } else { cut };
-                let again = text.out.is_some() && self.now < latest;
-                if again { self.dues.extend([(latest, Due::End(id))]) } else { self.give_up(id) }
+                let again = text.current_call.is_some() && self.now < latest;
+                if again { self.timers.extend([(latest, Timer::EndText(id))]) } else { self.give_up(id) }
             }
-            Due::Key(key) => self.advance(key),
-            Due::Ask => self.actions.push(Action::Subscribe { on: true }),
-            Due::Lane(dest) => {
-                self.holds.get_mut(&dest).expect("looked at").look_at = None;
-                self.touched.insert(dest);
+            Timer::ReleaseKey(key) => self.advance_key(key),
+            Timer::Subscribe => self.actions.push(Action::Subscribe { on: true }),
+            Timer::RouteOpens(dest) => {
+                self.holds.get_mut(&dest).expect("looked at").recheck_at = None;
+                self.changed_dests.insert(dest);
             }
-            Due::Idle(id) => self.drop_idle(id),
-            Due::Overdue(call) => self.overdue(call),
-            Due::Unlisted(id) => self.drop_unlisted(id),
-            Due::ListLapses if self.list_is_good() => {}
-            // Some were decided on a lease that went further.
-            Due::ListLapses => self.withhold(self.calls.keys().copied().collect()),
+            Timer::DropIdleRoute(id) => self.drop_idle_route(id),
+            Timer::CheckCall(call) => self.check_silent_call(call),
+            Timer::DropUnlisted(id) => self.drop_unlisted(id),
+            Timer::ListLeaseEnds if self.list_lease_valid() => {}
+            // Some calls may have been decided under a longer lease.
+            Timer::ListLeaseEnds => self.cancel_unsent(self.calls.keys().copied().collect()),
         }
     }
 
-    // What an outcome tells of the text and of its lane.
+    // Outcomes: what they say about the text and its route.
 
-    fn outcome(&mut self, outcome: Outcome) {
+    /// Handles the outcome of a submit: updates its call, route and key, and ends or retries the text.
+    fn handle_outcome(&mut self, outcome: Outcome) {
         let id = outcome.text;
-        let said = |text: &&mut Text| outcome.submit + 1 == text.submits;
-        let Some(text) = self.texts.get_mut(&id).filter(said) else { return };
-        let Some(call_id) = text.out.take() else { return };
+        let is_current = |text: &&mut Text| outcome.submit + 1 == text.submits;
+        let Some(text) = self.texts.get_mut(&id).filter(is_current) else { return };
+        let Some(call_id) = text.current_call.take() else { return };
         let call = self.calls.get_mut(&call_id).expect("a submit that is out has its call");
-        let Call { sent, endpoint, cut_short, .. } = *call;
-        text.alone |= call.texts.len() > 1 && outcome.verdict == Verdict::Moot;
-        // A text that stayed behind says nothing of the call that left without it.
-        let left = outcome.verdict != Verdict::Moot;
-        let first_word = !call.judged && (left || call.texts_out == call.texts.len());
-        call.judged |= left;
-        call.texts_out -= 1;
-        let done = call.texts_out == 0;
+        let Call { sent, endpoint, timeout_shortened, .. } = *call;
+        text.unbatched |= call.texts.len() > 1 && outcome.verdict == Verdict::Moot;
+        // A text that was not sent says nothing about the call that left without it.
+        let was_sent = outcome.verdict != Verdict::Moot;
+        let first_outcome = !call.assessed && (was_sent || call.texts_unanswered == call.texts.len());
+        call.assessed |= was_sent;
+        call.texts_unanswered -= 1;
+        let done = call.texts_unanswered == 0;
         if !outcome.never_ran() && outcome.verdict != Verdict::Delivered {
             text.first_in_doubt.get_or_insert((sent, self.endpoints[&endpoint].zone));
             if let Some(key) = text.key.and_then(|key| self.keys.get_mut(&key)) {
-                key.rest_until = Some(self.now + self.settings.rest_after_doubt);
+                key.paused_until = Some(self.now + self.settings.rest_after_doubt);
             }
         }
-        let ended = text.place == Place::Ended || outcome.ended || outcome.verdict == Verdict::Delivered;
-        let lane_id = self.lane_of(endpoint);
-        // An answer to many texts may deliver some and tell a wait all the same.
+        let ended = text.stage == Stage::Ended || outcome.ended || outcome.verdict == Verdict::Delivered;
+        let route_id = self.route_of(endpoint);
+        // A response to a call with several texts may deliver some of them and still carry a retry-after
+        // time.
         if outcome.verdict == Verdict::Full || outcome.retry_after.is_some() {
-            let known = self.known_rate(lane_id);
-            let lane = self.lanes.get_mut(&lane_id).expect("a lane with calls out stays");
+            let known = self.known_rate(route_id);
+            let route = self.routes.get_mut(&route_id).expect("a lane with calls out stays");
             if let Some(wait) = outcome.retry_after {
-                lane.wait_until = lane.wait_until.max(self.now + wait + self.settings.tick);
+                route.wait_until = route.wait_until.max(self.now + wait + self.settings.tick);
             }
-            // All who were told to wait come back at once: senders take turns by their number, a call of the
-            // known rate apart. Where refused calls use up a limit each sits out a round for every full.
-            if known > 0.0 && first_word {
+            // All senders that were given a retry-after time would come back at once, so they take turns by
+            // their ordinal, one call interval of the known rate apart. Where rejected calls count against
+            // the limit, each sender skips one round for each consecutive failure.
+            if known > 0.0 && first_outcome {
                 let call = Span::from_millis(1000.0 / known);
-                let turn = call * outcome.retry_after.map_or(0.0, |_| self.settings.ordinal as f64);
-                let rounds =
-                    (call * self.settings.senders as f64).min(LONGEST_ROUND) * f64::from(lane.health.strikes);
-                lane.paced = lane.paced.max(lane.wait_until.max(self.now) + turn + rounds);
+                let turn_offset = call * outcome.retry_after.map_or(0.0, |_| self.settings.ordinal as f64);
+                let rounds = (call * self.settings.senders as f64).min(MAX_ROUND)
+                    * f64::from(route.health.consecutive_failures);
+                route.next_paced_call =
+                    route.next_paced_call.max(route.wait_until.max(self.now) + turn_offset + rounds);
             }
-            if outcome.retry_after.is_some() && first_word {
-                let others = self.lanes[&lane_id].calls.iter().copied();
-                self.withhold(others.filter(|other| *other != call_id).collect());
+            if outcome.retry_after.is_some() && first_outcome {
+                let others = self.routes[&route_id].calls.iter().copied();
+                self.cancel_unsent(others.filter(|other| *other != call_id).collect());
             }
         }
-        if first_word {
-            // One that tells of its limit and says nothing now has no room for a connection, idle ones too:
-            // those that rest keep others out. Where it is shut instead, they are closed for nothing.
-            let wordless = outcome.retry_after.is_none() && outcome.allowance.is_none();
+        if first_outcome {
+            // A receiver that usually reports its limit and sends neither that nor a retry-after time has
+            // no room for another connection. Idle connections use up that room too, so they are closed. If
+            // the cause is another, they are closed without need.
+            let unexplained = outcome.retry_after.is_none() && outcome.allowance.is_none();
             let kind = self.endpoints[&endpoint].kind;
-            if outcome.verdict == Verdict::Full && self.settings.tells_limits && wordless {
-                self.crowded.insert(kind, self.now);
+            if outcome.verdict == Verdict::Full && self.settings.tells_limits && unexplained {
+                self.connections_full_at.insert(kind, self.now);
             } else if matches!(outcome.verdict, Verdict::ConnectFailed | Verdict::Reset | Verdict::TimeOut) {
-                self.lost.insert(kind, self.now);
+                self.connection_lost_at.insert(kind, self.now);
             }
-            self.judge(endpoint, sent, cut_short, &outcome);
+            self.assess(endpoint, sent, timeout_shortened, &outcome);
         }
         if done {
             self.calls.remove(&call_id);
             self.endpoints.get_mut(&endpoint).expect("known").calls.remove(&call_id);
-            self.lanes.get_mut(&lane_id).expect("a lane with calls out stays").calls.remove(&call_id);
+            self.routes.get_mut(&route_id).expect("a lane with calls out stays").calls.remove(&call_id);
         }
-        self.touched.insert(self.endpoints[&endpoint].dest);
+        self.changed_dests.insert(self.endpoints[&endpoint].dest);
         self.close_idle(endpoint);
-        let told = outcome.retry_after.map_or(self.now, |wait| self.now + wait);
-        if ended { self.end(id) } else { self.reschedule(id, told) }
+        let not_before = outcome.retry_after.map_or(self.now, |wait| self.now + wait);
+        if ended { self.end_text(id) } else { self.schedule_retry(id, not_before) }
     }
 
-    /// Guards against connections that fall silent and hold slots while their receiver answers on others.
-    fn overdue(&mut self, id: u64) {
+    /// Revokes calls on connections that have gone silent and occupy slots while their receiver answers on
+    /// others.
+    fn check_silent_call(&mut self, id: u64) {
         let Some(call) = self.calls.get(&id) else { return };
-        let lane = &self.lanes[&self.lane_of(call.endpoint)];
-        let overtaken = lane.health.last_ok > call.sent + lane.patience();
+        let route = &self.routes[&self.route_of(call.endpoint)];
+        let others_answered = route.health.last_ok > call.sent + route.silence_limit();
         let mut texts = call.texts.iter().map(|id| &self.texts[id]);
-        let again = |text| self.repeat(text) != Repeat::OnceOnly && self.may_go_again(text);
-        if overtaken && call.texts_out == call.texts.len() && self.settings.may_revoke && texts.all(again) {
+        let again = |text| self.repeat(text) != Repeat::OnceOnly && self.may_submit(text);
+        if others_answered
+            && call.texts_unanswered == call.texts.len()
+            && self.settings.may_revoke
+            && texts.all(again)
+        {
             let revoke = |&text: &TextId| Action::Revoke { text, submit: self.texts[&text].submits - 1 };
             self.actions.extend(call.texts.iter().map(revoke));
         } else {
-            self.dues.insert((self.now + BEAT * 4.0, Due::Overdue(id)));
+            self.timers.insert((self.now + TICK_INTERVAL * 4.0, Timer::CheckCall(id)));
         }
     }
 
-    fn judge(&mut self, endpoint_id: EndpointId, sent: Moment, cut_short: bool, outcome: &Outcome) {
+    fn assess(&mut self, endpoint_id: EndpointId, sent: Moment, timeout_shortened: bool, outcome: &Outcome) {
         let (now, slots, cold) = (self.now, self.settings.slots, self.settings.cold_span);
-        let lane_id = self.lane_of(endpoint_id);
-        let (turn, common) = (self.turn(lane_id), self.common_rise());
-        // A pace that nothing pressed against has shown nothing.
-        let backlog =
-            self.holds.get(&lane_id.0).is_some_and(|hold| !hold.fresh.is_empty() || !hold.ready.is_empty());
-        let (known, part) = (self.known_rate(lane_id), self.part(lane_id));
-        let gap = Span::from_millis(1000.0 / part.max(1e-3));
-        let few = self.cold_gap(lane_id, now) > SECOND_LOOK;
+        let route_id = self.route_of(endpoint_id);
+        let (turn_delay, common) = (self.turn_delay(route_id), self.common_rise());
+        // A pace that no backlog pressed against has not shown that the receiver takes it.
+        let backlog = self
+            .holds
+            .get(&route_id.0)
+            .is_some_and(|hold| !hold.fresh.is_empty() || !hold.retry_ready.is_empty());
+        let (known, own_share) = (self.known_rate(route_id), self.own_share(route_id));
+        let share_interval = Span::from_millis(1000.0 / own_share.max(1e-3));
+        let sparse = self.cold_call_interval(route_id, now) > QUICK_FAILURE_PAUSE;
         let jitter = 0.8 + 0.4 * self.chance.share();
-        let unpaced = self.lanes[&lane_id].pace == 0.0;
-        let told = outcome.allowance.filter(|told| told.calls_per_sec > 0.0);
-        let start = told.filter(|_| unpaced).map(|told| self.first_pace(lane_id, told.calls_per_sec));
-        let scarce = told.is_some_and(|told| told.remaining_share < SCARCE);
+        let unlimited = self.routes[&route_id].pace == 0.0;
+        let reported = outcome.allowance.filter(|reported| reported.calls_per_sec > 0.0);
+        let start = reported
+            .filter(|_| unlimited)
+            .map(|reported| self.initial_pace(route_id, reported.calls_per_sec));
+        let scarce = reported.is_some_and(|reported| reported.remaining_share < LOW_LIMIT_SHARE);
         let endpoint = self.endpoints.get_mut(&endpoint_id).expect("known");
-        let lane = self.lanes.get_mut(&lane_id).expect("a lane with calls out stays");
+        let route = self.routes.get_mut(&route_id).expect("a lane with calls out stays");
         if let Some(allowance) = outcome.allowance {
-            (lane.told_rate, lane.pace) = (allowance.calls_per_sec, start.unwrap_or(lane.pace));
-            // Of many senders each sees only here what the others do: a full comes when the limit is used up.
-            if scarce && sent >= lane.cut_at {
-                let eased = lane.pace * (1.0 - EASING * (1.0 - allowance.remaining_share / SCARCE));
-                lane.pace = lane.pace.min(eased.max(part * LEAST_PART));
+            (route.reported_rate, route.pace) = (allowance.calls_per_sec, start.unwrap_or(route.pace));
+            // Each of many senders sees only here what the others use: an overload response comes when the
+            // limit is already used up.
+            if scarce && sent >= route.cut_at {
+                let eased = route.pace
+                    * (1.0 - MAX_PACE_EASING * (1.0 - allowance.remaining_share / LOW_LIMIT_SHARE));
+                route.pace = route.pace.min(eased.max(own_share * MIN_PACE_SHARE));
             }
         }
         let weight = match outcome.verdict {
             Verdict::Moot => return,
-            Verdict::Cancelled => return endpoint.health.failed(now, sent, 1, false, jitter),
+            Verdict::Cancelled => return endpoint.health.record_failure(now, sent, 1, false, jitter),
             Verdict::Delivered => {
-                endpoint.health.succeeded(now, turn, cold);
-                // What an outage turned away tells of no limit: the cold budget alone holds what is back.
-                if known == 0.0 && lane.health.state == State::Down {
-                    lane.pace = 0.0;
+                endpoint.health.record_success(now, turn_delay, cold);
+                // Calls rejected during an outage say nothing about a rate limit; the cold call budget
+                // alone limits a recovering route.
+                if known == 0.0 && route.health.state == HealthState::Down {
+                    route.pace = 0.0;
                 }
-                // The trial was of the budget too, and parts of an unknown rate may add up to more than it.
-                let left = lane.health.next.since(now) * if known > 0.0 { 0.5 } else { 1.0 };
-                lane.health.succeeded(now, turn.max(left), cold);
-                lane.time_outs = 0;
-                if lane.pace > 0.0 && backlog && !scarce {
+                // The trial call was part of the cold call budget too, and the senders' shares of an
+                // unknown rate may add up to more than the rate.
+                let until_next = route.health.next.since(now) * if known > 0.0 { 0.5 } else { 1.0 };
+                route.health.record_success(now, turn_delay.max(until_next), cold);
+                route.time_outs = 0;
+                if route.pace > 0.0 && backlog && !scarce {
                     let most = if known > 0.0 { known } else { f64::INFINITY };
-                    lane.pace = (lane.pace + PACE_RISE * part / lane.pace.max(1.0)).min(most);
+                    route.pace = (route.pace + PACE_INCREASE * own_share / route.pace.max(1.0)).min(most);
                 }
-                let slow = lane.learn(outcome.latency.as_millis(), common);
-                self.risen.retain(|(_, id, _)| *id != lane_id);
-                self.risen.push_front((now, lane_id, lane.recent / lane.usual));
-                self.risen.truncate(TELLING);
-                return if slow { lane.cut(now, sent) } else { lane.grow(slots) };
+                let slow = route.record_latency(outcome.latency.as_millis(), common);
+                self.recent_rises.retain(|(_, id, _)| *id != route_id);
+                self.recent_rises.push_front((now, route_id, route.recent / route.usual));
+                self.recent_rises.truncate(MAX_RECENT_ROUTES);
+                return if slow { route.shrink_window(now, sent) } else { route.grow_window(slots) };
             }
-            // Texts with little time left would mark a sound but unhurried receiver down.
-            Verdict::TimeOut if cut_short && outcome.latency < lane.patience() => return,
-            Verdict::TimeOut if cut_short => 1,
+            // Calls whose texts have little time left would mark a healthy but slow receiver down.
+            Verdict::TimeOut if timeout_shortened && outcome.latency < route.silence_limit() => return,
+            Verdict::TimeOut if timeout_shortened => 1,
             Verdict::Error | Verdict::Reset | Verdict::Full => 1,
             Verdict::TimeOut | Verdict::ConnectFailed => 3,
         };
-        if outcome.verdict == Verdict::TimeOut && sent >= lane.cut_at {
-            lane.time_outs += 1;
+        if outcome.verdict == Verdict::TimeOut && sent >= route.cut_at {
+            route.time_outs += 1;
         }
-        if outcome.verdict == Verdict::Full && sent >= lane.cut_at {
-            // Where being turned away costs and neither a wait nor a rate is told, a pace far above what is
-            // handed in would go on holding nothing back.
+        if outcome.verdict == Verdict::Full && sent >= route.cut_at {
+            // Where rejected calls cost and neither a retry-after time nor a rate is reported, a pace far
+            // above the demand would go on limiting nothing, so it is reduced from this sender's share.
             let free = self.settings.turned_away_price == 0.0;
-            let told = free || outcome.retry_after.is_some() || lane.told_rate > 0.0;
-            let used = if told { lane.pace } else { lane.pace.min(part) };
-            let from = if lane.pace > 0.0 { used } else { part.max(1.0) };
-            let least = if known > 0.0 { part * LEAST_PART } else { LEAST_PACE };
-            lane.pace = (from * PACE_CUT).max(least);
-            lane.paced = lane.paced.max(now);
+            let limit_known = free || outcome.retry_after.is_some() || route.reported_rate > 0.0;
+            let used = if limit_known { route.pace } else { route.pace.min(own_share) };
+            let from = if route.pace > 0.0 { used } else { own_share.max(1.0) };
+            let least = if known > 0.0 { own_share * MIN_PACE_SHARE } else { MIN_PACE };
+            route.pace = (from * PACE_DECREASE).max(least);
+            route.next_paced_call = route.next_paced_call.max(now);
         }
-        lane.cut(now, sent);
-        let silent = outcome.verdict == Verdict::TimeOut && !cut_short;
-        let new = endpoint.health.strikes == 0;
-        endpoint.health.failed(now, sent, weight, silent, jitter);
-        // One endpoint's failures alone don't mark a lane down that has others.
-        let others = || self.holds[&lane_id.0].endpoints.iter().filter(|id| **id != endpoint_id);
-        let shared = lane_id.1.is_some()
+        route.shrink_window(now, sent);
+        let silent = outcome.verdict == Verdict::TimeOut && !timeout_shortened;
+        let first_failure = endpoint.health.consecutive_failures == 0;
+        endpoint.health.record_failure(now, sent, weight, silent, jitter);
+        // Failures of one endpoint alone do not mark a route down that has other endpoints.
+        let others = || self.holds[&route_id.0].endpoints.iter().filter(|id| **id != endpoint_id);
+        let shared = route_id.1.is_some()
             || others().count() == 0
-            || others().any(|id| self.endpoints[id].health.strikes > 0);
-        let most = if shared { weight } else { (STRIKES_OUT - 1).saturating_sub(lane.health.strikes) };
-        // Each of many senders meets too little to find a receiver down; together they would push it over.
-        // One dead endpoint that goes on failing beside sound ones is told from that by its strikes.
-        let found = few && weight == 3 && (new || shared);
-        let weight = if found { STRIKES_OUT } else { weight.min(most) };
-        lane.health.failed(now, sent, weight, silent, jitter);
-        if found && lane.health.since == now {
-            lane.health.next = now + SECOND_LOOK * jitter + turn;
+            || others().any(|id| self.endpoints[id].health.consecutive_failures > 0);
+        let most = if shared {
+            weight
+        } else {
+            (FAILURES_UNTIL_DOWN - 1).saturating_sub(route.health.consecutive_failures)
+        };
+        // Each of many senders makes too few calls to find a receiver down by their number, and together
+        // they would overload it. A single dead endpoint that goes on failing beside healthy ones is
+        // recognized by its consecutive failures.
+        let found_down = sparse && weight == 3 && (first_failure || shared);
+        let weight = if found_down { FAILURES_UNTIL_DOWN } else { weight.min(most) };
+        route.health.record_failure(now, sent, weight, silent, jitter);
+        if found_down && route.health.since == now {
+            route.health.next = now + QUICK_FAILURE_PAUSE * jitter + turn_delay;
         }
         let quick = matches!(outcome.verdict, Verdict::ConnectFailed | Verdict::Reset | Verdict::Error);
-        if shared && quick && lane.health.struck_at == now {
-            lane.paced = lane.paced.max(now + SECOND_LOOK.min(gap) * jitter);
+        if shared && quick && route.health.last_failure_at == now {
+            route.next_paced_call =
+                route.next_paced_call.max(now + QUICK_FAILURE_PAUSE.min(share_interval) * jitter);
         }
     }
 
-    // Which call goes out next.
+    // Choice of the next call.
 
-    fn lane_of(&self, endpoint: EndpointId) -> LaneId {
+    /// The route that an endpoint belongs to.
+    fn route_of(&self, endpoint: EndpointId) -> RouteId {
         let at = &self.endpoints[&endpoint];
         (at.dest, self.settings.kinds[at.kind.0].routes_apart.then_some(endpoint))
     }
 
-    /// Calls a second that the receiver takes from all senders by its list or its own word; 0 if unknown.
-    fn known_rate(&self, id: LaneId) -> f64 {
-        let told = self.lanes.get(&id).map_or(0.0, |lane| lane.told_rate);
+    /// Calls a second that the receiver takes from all senders, as it reports or as the list says; 0 if
+    /// unknown.
+    fn known_rate(&self, id: RouteId) -> f64 {
+        let reported = self.routes.get(&id).map_or(0.0, |route| route.reported_rate);
         let units = match id.1 {
-            Some(route) => self.endpoints[&route].units,
+            Some(endpoint) => self.endpoints[&endpoint].units,
             None => self.holds.get(&id.0).map_or(0.0, |hold| hold.units),
         };
         match self.settings.listed_rate {
-            _ if told > 0.0 => told,
+            _ if reported > 0.0 => reported,
             ListedRate::Silent => 0.0,
             ListedRate::Exact => units,
             ListedRate::Rough => units / 1.5,
         }
     }
 
-    /// Guards against a slowdown of everything that marks all receivers slow; may hide a sick one among them.
+    /// The rise of answer times common to all routes, so that a general slowdown does not mark all
+    /// receivers slow. It may hide a slow receiver among them.
     fn common_rise(&self) -> f64 {
-        let lately = self.risen.iter().filter(|(at, ..)| self.now.since(*at) < LATELY);
+        let lately = self.recent_rises.iter().filter(|(at, ..)| self.now.since(*at) < RECENT_ANSWER_SPAN);
         let mut rises: Vec<f64> = lately.map(|(.., rise)| *rise).collect();
         rises.sort_by(f64::total_cmp);
         if rises.len() < 3 { 1.0 } else { rises[(rises.len() - 1) / 2].max(1.0) }
@@ -955,201 +1131,227 @@
 
     /// Texts a second that this sender is handed for a destination.
     fn demand(&self, dest: DestId) -> f64 {
-        let counted = self.now.since(self.started.unwrap_or(self.now)).as_secs().max(DEMAND_LEAST);
-        let span = DEMAND_SPAN * (1.0 - (-counted / DEMAND_SPAN).exp());
-        self.holds.get(&dest).map_or(0.0, |hold| hold.asked * hold.faded(self.now) / span)
+        let counted = self.now.since(self.started.unwrap_or(self.now)).as_secs().max(MIN_DEMAND_SECS);
+        let span = DEMAND_AVERAGING_SECS * (1.0 - (-counted / DEMAND_AVERAGING_SECS).exp());
+        self.holds.get(&dest).map_or(0.0, |hold| hold.arrivals * hold.decay(self.now) / span)
     }
 
-    /// Guards against receivers that take few connections and against ones dropped unseen at rest.
+    /// Closes idle connections while receivers of this kind have too few connections, or while connections
+    /// get lost unnoticed as they are idle.
     fn close_idle(&mut self, id: EndpointId) {
         let at = &self.endpoints[&id];
         let hold = &self.holds[&at.dest];
         let pause = hold.endpoints.len() as f64 / self.demand(at.dest).max(1e-3);
-        let lately = |at: Option<&Moment>| at.is_some_and(|at| self.now.since(*at) < LOST_SPAN);
-        let (lost, crowded) = (lately(self.lost.get(&at.kind)), lately(self.crowded.get(&at.kind)));
-        let rare = pause > self.settings.keeps_alive.as_secs() * KEPT_PART;
-        // What rests for its lane's pace or wait keeps others out of a crowd as well.
-        let opens = self.lanes.get(&self.lane_of(id)).and_then(|lane| lane.opens(self.settings.slots));
-        let held_back = crowded && opens.is_none_or(|opens| opens > self.now);
-        let idle = at.calls.is_empty() && (held_back || hold.fresh.is_empty() && hold.ready.is_empty());
-        let shut = idle && (crowded || lost && rare);
+        let lately = |at: Option<&Moment>| at.is_some_and(|at| self.now.since(*at) < CONNECTION_LOSS_SPAN);
+        let (lost, connections_full_at) =
+            (lately(self.connection_lost_at.get(&at.kind)), lately(self.connections_full_at.get(&at.kind)));
+        let sparse_failure = pause > self.settings.keeps_alive.as_secs() * IDLE_KEEP_SHARE;
+        // Connections that wait for their route's pace or retry-after time also keep others out of a
+        // receiver with too few connections.
+        let opens = self.routes.get(&self.route_of(id)).and_then(|route| route.opens_at(self.settings.slots));
+        let held_back = connections_full_at && opens.is_none_or(|opens| opens > self.now);
+        let idle = at.calls.is_empty() && (held_back || hold.fresh.is_empty() && hold.retry_ready.is_empty());
+        let shut = idle && (connections_full_at || lost && sparse_failure);
         self.actions.extend(shut.then_some(Action::CloseIdle { endpoint: id }));
     }
 
-    /// This sender's part of a rate: an equal one, or what it is handed if more, as most have no text for it.
-    fn part(&self, id: LaneId) -> f64 {
+    /// This sender's share of a rate: an equal one, or its own demand if that is more, as most senders have
+    /// no text for the destination.
+    fn own_share(&self, id: RouteId) -> f64 {
         let known = self.known_rate(id);
-        let handed = if known > 0.0 { self.demand(id.0).min(known) } else { self.demand(id.0) * PEAK };
-        handed.max(known.max(LEAST_RATE) / self.settings.senders.max(1) as f64)
+        let accepted =
+            if known > 0.0 { self.demand(id.0).min(known) } else { self.demand(id.0) * PEAK_TO_MEAN };
+        accepted.max(known.max(MIN_WARM_RATE) / self.settings.senders.max(1) as f64)
     }
 
-    /// What a sender allows itself of a rate before it has met its limit. Where refused calls cost, many that
-    /// start far above their parts would use it up for all until each has been turned away often enough.
-    fn first_pace(&self, id: LaneId, rate: f64) -> f64 {
-        let first = if self.settings.turned_away_price > 0.0 { 0.0 } else { FIRST_PART };
-        self.part(id).min(rate).max(rate * (2.0 / (self.settings.senders as f64 + 1.0)).max(first))
+    /// Pace that a sender starts with before it has met the limit of a receiver. Where rejected calls cost,
+    /// many senders that start far above their shares would use up the limit for all until each has been
+    /// rejected often enough.
+    fn initial_pace(&self, id: RouteId, rate: f64) -> f64 {
+        let first = if self.settings.turned_away_price > 0.0 { 0.0 } else { INITIAL_PACE_SHARE };
+        self.own_share(id).min(rate).max(rate * (2.0 / (self.settings.senders as f64 + 1.0)).max(first))
     }
 
-    /// Pause between two calls to a cold receiver. Demand swells with nacks: a known rate is parted.
-    fn cold_gap(&self, id: LaneId, since: Moment) -> Span {
+    /// Interval between two calls to a cold receiver. Demand grows with nacked texts that are handed in
+    /// again, so a known rate is split equally instead.
+    fn cold_call_interval(&self, id: RouteId, since: Moment) -> Span {
         let cold_span = self.settings.cold_span.as_secs().max(1e-3);
         let warmth = (self.now.since(since).as_secs() / cold_span).min(1.0);
         let share = self.settings.cold_share + (1.0 - self.settings.cold_share) * warmth;
         let senders = self.settings.senders.max(1) as f64;
         let equal = self.known_rate(id) / senders;
-        // A process that has just begun goes by what it finds.
-        let found = self.holds.get(&id.0).map_or(0.0, |hold| hold.held as f64) / cold_span;
-        let part = if equal > 0.0 { equal } else { (self.demand(id.0) * COLD_PEAK).max(found) };
-        let least = if equal > 0.0 { 1e-3 } else { (LEAST_COLD / senders).max(2.0 / cold_span) };
-        Span::from_millis(1000.0 / (self.settings.tip_multiple * share * part).max(least))
+        // A process that has just started has no demand history, so it goes by the texts that it holds.
+        let backlog_rate = self.holds.get(&id.0).map_or(0.0, |hold| hold.held as f64) / cold_span;
+        let own_share =
+            if equal > 0.0 { equal } else { (self.demand(id.0) * COLD_PEAK_TO_MEAN).max(backlog_rate) };
+        let least = if equal > 0.0 { 1e-3 } else { (MIN_COLD_RATE / senders).max(2.0 / cold_span) };
+        Span::from_millis(1000.0 / (self.settings.tip_multiple * share * own_share).max(least))
     }
 
-    /// Senders take turns at what has just come back: each starts its part of the gap later than the last.
-    fn turn(&self, id: LaneId) -> Span {
-        let part = (self.settings.ordinal + 1) as f64 / self.settings.senders.max(1) as f64;
-        self.cold_gap(id, self.now).min(self.settings.cold_span * 0.5) * part
+    /// Delay of this sender's first call to a recovering receiver: senders take turns, each starting a
+    /// fraction of the interval after the one before.
+    fn turn_delay(&self, id: RouteId) -> Span {
+        let turn_share = (self.settings.ordinal + 1) as f64 / self.settings.senders.max(1) as f64;
+        self.cold_call_interval(id, self.now).min(self.settings.cold_span * 0.5) * turn_share
     }
 
-    /// Guards against silent receivers that draw in slots until the first time-out; one slow call may hurt.
-    fn silent(&self, lane: &Lane, health: &Health, calls: &BTreeSet<u64>) -> bool {
+    /// Whether the oldest call has been unanswered for too long. No more slots are given to a silent
+    /// receiver before the first time-out; a single slow call may hold back the others.
+    fn is_silent(&self, route: &Route, health: &Health, calls: &BTreeSet<u64>) -> bool {
         let sent = calls.first().map(|oldest| self.calls[oldest].sent);
-        sent.is_some_and(|sent| self.now.since(sent) > lane.patience() && health.last_ok <= sent)
+        sent.is_some_and(|sent| self.now.since(sent) > route.silence_limit() && health.last_ok <= sent)
     }
 
-    /// The best endpoint of a destination that may be called now, or when one may be.
-    fn pick(&self, dest: DestId, passed: &BTreeSet<EndpointId>) -> Picked {
+    /// The best endpoint of a destination that may be called now, or the time when one may be.
+    fn pick_endpoint(&self, dest: DestId, unusable: &BTreeSet<EndpointId>) -> PickResult {
         let hold = &self.holds[&dest];
-        let newest = hold.fresh.last().or(hold.ready.last()).ok_or(None)?;
+        let newest = hold.fresh.last().or(hold.retry_ready.last()).ok_or(None)?;
         let mut best = None;
         let mut opens = None::<Moment>;
-        for &id in hold.endpoints.iter().filter(|id| !passed.contains(id)) {
+        for &id in hold.endpoints.iter().filter(|id| !unusable.contains(id)) {
             let at = &self.endpoints[&id];
-            let lane = self.lanes.get(&self.lane_of(id));
-            let lane_down = lane.is_some_and(|lane| lane.health.state == State::Down);
-            let silent = |lane: &Lane| {
-                self.silent(lane, &at.health, &at.calls) || self.silent(lane, &lane.health, &lane.calls)
+            let route = self.routes.get(&self.route_of(id));
+            let route_down = route.is_some_and(|route| route.health.state == HealthState::Down);
+            let silent = |route: &Route| {
+                self.is_silent(route, &at.health, &at.calls)
+                    || self.is_silent(route, &route.health, &route.calls)
             };
-            if lane.is_some_and(silent) {
+            if route.is_some_and(silent) {
                 continue;
             }
-            let lane_opens = lane.map_or(Some(self.now), |lane| lane.opens(self.settings.slots));
-            let own = if lane_down { Some(self.now) } else { at.health.opens(at.calls.len()) };
-            let Some(from) = lane_opens.and_then(|lane| own.map(|own| own.max(lane))) else { continue };
+            let route_opens = route.map_or(Some(self.now), |route| route.opens_at(self.settings.slots));
+            let own = if route_down { Some(self.now) } else { at.health.opens_at(at.calls.len()) };
+            let Some(from) = route_opens.and_then(|route| own.map(|own| own.max(route))) else { continue };
             if from > self.now {
                 opens = Some(opens.map_or(from, |at| at.min(from)));
                 continue;
             }
-            let lane_out = lane.map_or(0, |lane| lane.calls.len());
-            // An open connection is worth going back to, but not for all trials of a lane to a dead one.
-            let struck = if lane_down { at.health.strikes } else { 0 };
-            let recency = if struck > 0 { Ok(at.last_used) } else { Err(Reverse(at.last_used)) };
-            let down = at.health.state == State::Down;
-            let rank = (lane_out, struck, at.calls.len(), down, recency, id);
+            let route_calls = route.map_or(0, |route| route.calls.len());
+            // An open connection is worth reusing, but not for all trial calls of a route to a dead
+            // endpoint.
+            let failures = if route_down { at.health.consecutive_failures } else { 0 };
+            let recency = if failures > 0 { Ok(at.last_used) } else { Err(Reverse(at.last_used)) };
+            let down = at.health.state == HealthState::Down;
+            let rank = (route_calls, failures, at.calls.len(), down, recency, id);
             best = best.into_iter().chain([rank]).min();
         }
         let best = best.ok_or(opens)?;
         Ok(((hold.fresh.is_empty(), best.0, Reverse(*newest), dest), best.5))
     }
 
-    /// Puts a destination in its place among those that may send.
-    fn line_up(&mut self, dest: DestId, passed: &BTreeSet<EndpointId>) {
-        let picked = self.pick(dest, passed);
+    /// Updates the place of a destination among those that may send.
+    fn update_candidate(&mut self, dest: DestId, unusable: &BTreeSet<EndpointId>) {
+        let picked = self.pick_endpoint(dest, unusable);
         let hold = self.holds.get_mut(&dest).expect("what is touched has a hold");
         let rank = picked.as_ref().ok().map(|(rank, _)| *rank);
-        std::mem::replace(&mut hold.rank, rank).map(|old| self.line.remove(&old));
-        self.line.extend(rank);
+        std::mem::replace(&mut hold.rank, rank).map(|old| self.candidates.remove(&old));
+        self.candidates.extend(rank);
         if let Err(Some(at)) = picked
-            && hold.look_at.is_none_or(|look| at < look)
+            && hold.recheck_at.is_none_or(|look| at < look)
         {
-            hold.look_at = Some(at);
-            self.dues.insert((at, Due::Lane(dest)));
+            hold.recheck_at = Some(at);
+            self.timers.insert((at, Timer::RouteOpens(dest)));
         }
     }
 
+    /// Makes calls as long as a destination may send and a slot is free.
     fn dispatch(&mut self) {
-        // Endpoints that none of the texts held may go to, as where only one zone remembers a reference.
-        let mut passed = BTreeSet::new();
-        for dest in std::mem::take(&mut self.touched) {
-            if self.holds[&dest].gentle.is_some() {
-                self.start_gently(dest);
+        // Endpoints that none of the held texts may be sent to, for example where only one zone remembers a
+        // reference.
+        let mut unusable = BTreeSet::new();
+        for dest in std::mem::take(&mut self.changed_dests) {
+            if self.holds[&dest].resumed_unclear.is_some() {
+                self.start_cold(dest);
             }
-            self.line_up(dest, &passed);
+            self.update_candidate(dest, &unusable);
         }
-        while !self.quiet
-            && self.list_is_good()
+        while !self.submits_paused
+            && self.list_lease_valid()
             && self.calls.len() < self.settings.slots
-            && let Some(&first) = self.line.first()
+            && let Some(&first) = self.candidates.first()
         {
-            // What was open when it came into the line may have fallen silent since.
+            // A receiver that could be called when it became a candidate may have gone silent since.
             let dest = first.3;
-            if let Ok((rank, endpoint)) = self.pick(dest, &passed)
+            if let Ok((rank, endpoint)) = self.pick_endpoint(dest, &unusable)
                 && rank == first
-                && !self.call(dest, endpoint)
+                && !self.send_call(dest, endpoint)
             {
-                passed.insert(endpoint);
+                unusable.insert(endpoint);
             }
-            self.line_up(dest, &passed);
+            self.update_candidate(dest, &unusable);
         }
-        self.touched.clear();
+        self.changed_dests.clear();
     }
 
-    fn open_lane(&mut self, id: LaneId, health: Health) {
-        let pace = self.first_pace(id, self.known_rate(id));
-        self.lanes.entry(id).or_insert_with(|| {
-            self.dues.insert((self.now + QUIET_SPELL, Due::Idle(id)));
-            Lane { window: (self.settings.slots / 2).max(1), pace, health, ..Lane::default() }
+    /// Creates the state of a route unless it exists.
+    fn open_route(&mut self, id: RouteId, health: Health) {
+        let pace = self.initial_pace(id, self.known_rate(id));
+        self.routes.entry(id).or_insert_with(|| {
+            self.timers.insert((self.now + IDLE_STATE_TTL, Timer::DropIdleRoute(id)));
+            Route { window: (self.settings.slots / 2).max(1), pace, health, ..Route::default() }
         });
     }
 
-    /// Guards against many processes that start at once, each with texts for what is just back and none that
-    /// knows of it, also where a text was just out if few can be borne. May hold back what was never cold.
-    fn start_gently(&mut self, dest: DestId) {
+    /// Treats a destination as cold for texts of an earlier process. Many processes may start at once, each
+    /// with texts for a receiver that has just come back and without knowledge of its outage; this also
+    /// applies to texts that were merely out if the receiver takes few calls. It may hold back a receiver
+    /// that was never cold.
+    fn start_cold(&mut self, dest: DestId) {
         for endpoint in self.holds[&dest].endpoints.clone() {
-            let (id, since) = (self.lane_of(endpoint), self.now);
-            if self.holds[&dest].gentle == Some(true) || self.cold_gap(id, since) > SECOND_LOOK {
-                let next = since + self.turn(id);
-                self.open_lane(id, Health { state: State::Back, since, next, ..Health::default() });
+            let (id, since) = (self.route_of(endpoint), self.now);
+            if self.holds[&dest].resumed_unclear == Some(true)
+                || self.cold_call_interval(id, since) > QUICK_FAILURE_PAUSE
+            {
+                let next = since + self.turn_delay(id);
+                self.open_route(
+                    id,
+                    Health { state: HealthState::Recovering, since, next, ..Health::default() },
+                );
             }
         }
         let hold = self.holds.get_mut(&dest).expect("looked at");
-        hold.gentle = hold.gentle.filter(|_| hold.endpoints.is_empty());
+        hold.resumed_unclear = hold.resumed_unclear.filter(|_| hold.endpoints.is_empty());
     }
 
-    /// One call, filled with as many of the texts held as it carries.
-    fn call(&mut self, dest: DestId, endpoint: EndpointId) -> bool {
-        let lane_id = self.lane_of(endpoint);
-        self.open_lane(lane_id, Health::default());
+    /// Makes one call to an endpoint, with as many of the held texts as it carries.
+    fn send_call(&mut self, dest: DestId, endpoint: EndpointId) -> bool {
+        let route_id = self.route_of(endpoint);
+        self.open_route(route_id, Health::default());
         let Endpoint { kind, zone, .. } = self.endpoints[&endpoint];
-        let (hold, health, now) = (&self.holds[&dest], &self.lanes[&lane_id].health, self.now);
-        // What is down may have come back this very moment, as cold as it can be.
-        let warm_from = |health: &Health| if health.state == State::Down { now } else { health.since };
-        let lane_gap = self.cold_gap(lane_id, warm_from(health));
-        // A trial call most likely leaves its texts in doubt: one is enough, a once-only one last of all.
-        let down = health.state == State::Down;
+        let (hold, health, now) = (&self.holds[&dest], &self.routes[&route_id].health, self.now);
+        // A receiver that is marked down may have come back at this moment, fully cold.
+        let warm_from = |health: &Health| if health.state == HealthState::Down { now } else { health.since };
+        let route_interval = self.cold_call_interval(route_id, warm_from(health));
+        // A trial call most likely leaves its texts in doubt: it carries only one, and a once-only text
+        // only if there is no other.
+        let down = health.state == HealthState::Down;
         let most = if down { 1 } else { self.settings.kinds[kind.0].texts_per_call };
         let takes = |id: &&TextId| {
             let text = &self.texts[*id];
             let one_zone = matches!(self.repeat(text), Repeat::Referenced { one_zone: true, .. });
-            self.may_go_again(text)
+            self.may_submit(text)
                 && !(one_zone && text.first_in_doubt.is_some_and(|(_, first)| first != zone))
         };
         let mut chosen: Vec<TextId> = Vec::new();
         if down {
             let once_only = |id: &TextId| self.repeat(&self.texts[id]) == Repeat::OnceOnly;
-            let tried = || hold.ready.iter().rev().chain(hold.fresh.iter().rev()).filter(takes);
+            let tried = || hold.retry_ready.iter().rev().chain(hold.fresh.iter().rev()).filter(takes);
             chosen.extend(tried().find(|id| !once_only(id)).or_else(|| tried().next()));
         } else {
-            // A text in doubt that waits behind fresh ones is forgotten by its receiver and can't go again.
-            // Nor may it wait beyond the next call where those to a cold one are further apart.
-            let next = if health.state == State::Back { lane_gap } else { FADING };
-            let fading = hold.fading.range(..(self.now + FADING.max(next), TextId(0))).map(|(_, id)| id);
-            let rest = hold.fresh.iter().rev().chain(hold.ready.iter().rev());
-            for id in fading.chain(rest).filter(takes) {
-                // One text that can't be read spoils a call for all that travel with it, again and again.
-                let shares = chosen.is_empty() || !(self.texts[id].alone || self.texts[&chosen[0]].alone);
+            // A text in doubt that waits behind fresh ones is forgotten by its receiver and may not be
+            // submitted again. It must not wait beyond the next call either, where the calls to a cold
+            // receiver are further apart.
+            let next = if health.state == HealthState::Recovering { route_interval } else { EXPIRING_WITHIN };
+            let expiring =
+                hold.expiring.range(..(self.now + EXPIRING_WITHIN.max(next), TextId(0))).map(|(_, id)| id);
+            let rest = hold.fresh.iter().rev().chain(hold.retry_ready.iter().rev());
+            for id in expiring.chain(rest).filter(takes) {
+                // One text that can't be parsed makes a call fail for all texts in it, again and again.
+                let shares =
+                    chosen.is_empty() || !(self.texts[id].unbatched || self.texts[&chosen[0]].unbatched);
                 if chosen.len() < most && shares && !chosen.contains(id) {
                     chosen.push(*id);
-                } else if chosen.len() == most || self.texts[&chosen[0]].alone {
+                } else if chosen.len() == most || self.texts[&chosen[0]].unbatched {
                     break;
                 }
             }
@@ -1157,25 +1359,26 @@
         if chosen.is_empty() {
             return false;
         }
-        // A receiver knows a call by its first text and by the one time told for all: these have to agree, or
-        // an answer that comes between the two ends texts here that are not over there.
+        // A receiver identifies a call by its first text and applies one time-out to all. Both have to be
+        // those of the same text, or an answer between two validity periods ends texts here that are still
+        // running there.
         chosen.sort_by_key(|id| Reverse(self.texts[id].valid_until));
         let shares_connection = self.may_share_connection(kind, &chosen);
-        let (call, mut cut_short) = (self.next_call, false);
+        let (call, mut timeout_shortened) = (self.next_call, false);
         self.next_call += 1;
         for &id in &chosen {
             let product = self.texts[&id].product;
-            let time_out = self.lanes[&lane_id].time_out(self.settings.products[product.0].sla_time);
-            self.put(id, Place::Out);
+            let time_out = self.routes[&route_id].time_out(self.settings.products[product.0].sla_time);
+            self.set_stage(id, Stage::Submitted);
             let forgotten = self.memory_ends(&self.texts[&id]).map(|end| end + MEMORY_MARGIN * 0.5);
             let text = self.texts.get_mut(&id).expect("chosen from the hold");
             let send_deadline = forgotten.map_or(text.valid_until, |end| end.min(text.valid_until));
-            let send_deadline = self.list_until.map_or(send_deadline, |until| until.min(send_deadline));
-            let left = (text.valid_until - CUT_MARGIN).since(self.now);
-            cut_short |= left < time_out;
+            let send_deadline = self.list_valid_until.map_or(send_deadline, |until| until.min(send_deadline));
+            let left = (text.valid_until - TIMEOUT_MARGIN).since(self.now);
+            timeout_shortened |= left < time_out;
             let time_out = time_out.min(left);
             text.submits += 1;
-            text.out = Some(call);
+            text.current_call = Some(call);
             self.actions.push(Action::Submit {
                 text: id,
                 endpoint,
@@ -1185,40 +1388,48 @@
             });
         }
         let parts = self.holds[&dest].endpoints.len() as f64;
-        let own_gap = self.cold_gap(lane_id, warm_from(&self.endpoints[&endpoint].health)) * parts;
+        let endpoint_interval =
+            self.cold_call_interval(route_id, warm_from(&self.endpoints[&endpoint].health)) * parts;
         let at = self.endpoints.get_mut(&endpoint).expect("known");
         at.calls.insert(call);
-        (at.last_used, at.health.next) = (self.now, at.health.next.max(self.now + own_gap));
-        let lane = self.lanes.get_mut(&lane_id).expect("made above");
-        lane.calls.insert(call);
-        (lane.last_used, lane.health.next) = (self.now, lane.health.next.max(self.now + lane_gap));
-        if lane.pace > 0.0 {
-            lane.paced = lane.paced.max(self.now) + Span::from_millis(1000.0 / lane.pace);
+        (at.last_used, at.health.next) = (self.now, at.health.next.max(self.now + endpoint_interval));
+        let route = self.routes.get_mut(&route_id).expect("made above");
+        route.calls.insert(call);
+        (route.last_used, route.health.next) = (self.now, route.health.next.max(self.now + route_interval));
+        if route.pace > 0.0 {
+            route.next_paced_call =
+                route.next_paced_call.max(self.now) + Span::from_millis(1000.0 / route.pace);
         }
-        self.dues.insert((self.now + lane.patience(), Due::Overdue(call)));
-        let (sent, texts_out, texts, judged) = (self.now, chosen.len(), chosen, false);
-        self.calls.insert(call, Call { endpoint, sent, texts_out, texts, judged, cut_short });
+        self.timers.insert((self.now + route.silence_limit(), Timer::CheckCall(call)));
+        let (sent, texts_unanswered, texts, assessed) = (self.now, chosen.len(), chosen, false);
+        self.calls
+            .insert(call, Call { endpoint, sent, texts_unanswered, texts, assessed, timeout_shortened });
         true
     }
 
-    /// Endpoints change for good. One that comes back under its id soon is still known for what it was.
+    /// Drops the state of an endpoint that has left the list for long. One that returns under its id
+    /// earlier keeps its state.
     fn drop_unlisted(&mut self, id: EndpointId) {
         let Some(at) = self.endpoints.get(&id).filter(|at| !at.running) else { return };
-        if at.calls.is_empty() && self.now >= at.last_used + QUIET_SPELL {
-            self.lanes.remove(&(at.dest, Some(id)));
+        if at.calls.is_empty() && self.now >= at.last_used + IDLE_STATE_TTL {
+            self.routes.remove(&(at.dest, Some(id)));
             self.endpoints.remove(&id);
         } else {
-            self.dues.insert((self.now + QUIET_SPELL, Due::Unlisted(id)));
+            self.timers.insert((self.now + IDLE_STATE_TTL, Timer::DropUnlisted(id)));
         }
     }
 
-    fn drop_idle(&mut self, id: LaneId) {
-        let (Some(lane), held) = (self.lanes.get(&id), self.holds[&id.0].held) else { return };
-        let quiet_from = lane.last_used + QUIET_SPELL;
-        if self.now >= quiet_from && self.now >= lane.wait_until && lane.calls.is_empty() && held == 0 {
-            self.lanes.remove(&id);
+    /// Drops the state of a route that has had no call or text for a while.
+    fn drop_idle_route(&mut self, id: RouteId) {
+        let (Some(route), held) = (self.routes.get(&id), self.holds[&id.0].held) else { return };
+        let quiet_from = route.last_used + IDLE_STATE_TTL;
+        if self.now >= quiet_from && self.now >= route.wait_until && route.calls.is_empty() && held == 0 {
+            self.routes.remove(&id);
         } else {
-            self.dues.insert((quiet_from.max(lane.wait_until).max(self.now + BEAT), Due::Idle(id)));
+            self.timers.insert((
+                quiet_from.max(route.wait_until).max(self.now + TICK_INTERVAL),
+                Timer::DropIdleRoute(id),
+            ));
         }
     }
 }
