--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -6,9 +6,9 @@
 use indigomast::time::{Moment, Span};
 use indigomast_journal::Store;
 use indigomast_sender::config::Site;
+use indigomast_sender::endpoint_table::EndpointTable;
 use indigomast_sender::limits::{Grant, Limits};
-use indigomast_sender::list::{Listed, Listing, Page};
-use indigomast_sender::places::Places;
+use indigomast_sender::list::{EndpointList, ListResponse, ListedEndpoint};
 use indigomast_site::{BootInfo, Names, read};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -114,14 +114,14 @@
     text
 }
 
-pub fn parse_list(text: &str, site: &Site, limits: &Limits) -> Result<Listing, String> {
-    Listing::of(read::<Page>(text)?, site, limits)
+pub fn parse_list(text: &str, site: &Site, limits: &Limits) -> Result<EndpointList, String> {
+    EndpointList::of(read::<ListResponse>(text)?, site, limits)
 }
 
 /// The decisions with what stands around them at a sender for each destination.
 pub struct Hollow {
     pub rules: Rules,
-    pub places: Places,
+    pub places: EndpointTable,
     dests: Names<u64>,
     pub now: Moment,
     next: usize,
@@ -141,7 +141,7 @@
         let now = Moment::from_millis(0.0);
         Hollow {
             rules: Rules::new(settings, seed),
-            places: Places::default(),
+            places: EndpointTable::default(),
             dests: Names::of(Vec::new()),
             now,
             next: 0,
@@ -175,20 +175,20 @@
     }
 
     /// What the sender's decider does with a list, but for its log and its orders.
-    pub fn listed(&mut self, listing: Listing) -> Vec<Action> {
+    pub fn listed(&mut self, listing: EndpointList) -> Vec<Action> {
         let mut entries = Vec::with_capacity(listing.members.len());
         let mut told = BTreeSet::new();
         for member in listing.members {
-            let (at, place) = self.places.put(&member);
+            let (at, place) = self.places.upsert(&member);
             told.insert(at);
             place.address = member.address.or(place.address);
-            let Listed { dest, kind, zone, units, condition, .. } = member;
+            let ListedEndpoint { dest, kind, zone, units, condition, .. } = member;
             let dest = DestId(self.dests.place(&dest));
             entries.push(Entry { endpoint: at, dest, kind, zone, units, condition });
         }
         if listing.complete {
-            let off = self.places.all().into_iter().filter(|at| !told.contains(at));
-            off.for_each(|at| self.places.leaves(at));
+            let off = self.places.ids().into_iter().filter(|at| !told.contains(at));
+            off.for_each(|at| self.places.mark_unlisted(at));
         }
         let scope = if listing.complete { Scope::Complete } else { Scope::Partial };
         self.step(vec![Event::ListReceived { scope, entries }])
--- a/crates/sender/src/decider.rs
+++ b/crates/sender/src/decider.rs
@@ -5,19 +5,19 @@
 use crate::config::{InForce, Site};
 use crate::control::{Order, Refusal};
 use crate::counters::Counters;
+use crate::endpoint_table::EndpointTable;
 use crate::figures::{Ends, Figures};
-use crate::handover::{HandoverState, Watch};
-use crate::ids::Ids;
+use crate::handover::{HandoverState, SuccessorWatch};
 use crate::intake::Intake;
-use crate::keys::Keys;
 use crate::limits::Limits;
-use crate::list::{self, Listed, Listing};
-use crate::list_file::ListKeeper;
+use crate::list::{self, EndpointList, ListedEndpoint};
+use crate::list_file::ListSaver;
 use crate::notices::Notice;
+use crate::ordering_keys::OrderingKeys;
 use crate::peer::{self, Peer, Trunk};
-use crate::places::Places;
-use crate::terms::{self, Table};
-use crate::wal::{self, Kept, Report, TextInfo, Wal};
+use crate::product_table::{self, ProductTable};
+use crate::request_ids::RequestIds;
+use crate::text_journal::{self, AuxiliaryRecord, Report, TextInfo, TextJournal};
 use crate::{log, log_account, log_decision, log_request, log_state, threads};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use indigomast::api::*;
@@ -48,32 +48,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It is in the log. Whoever asked says whether the client has heard of it.
-    Taken(TextId),
+    Accepted(TextId),
     /// Handed in before under this id, and taken on then.
-    Known,
+    AlreadyAccepted,
     /// Another text was handed in under this id, and that one was taken on.
-    Other,
+    IdConflict,
     Full,
     /// This sender could not answer for it just now: come back after so long.
-    Later(Span),
+    RetryAfter(Span),
     /// It is not taken on, but a part of it may be in the journal, and then a next life may send it: no promise is made.
-    Unsure,
+    Indeterminate,
     /// No list has ever named its destination.
-    NoSuchDest,
+    UnknownDestination,
 }
 
-pub enum Word {
+pub enum Message {
     HandIn(HandIn),
     /// The client has its answer, or has gone before.
-    Heard(TextId),
-    Gone(TextId),
+    AnswerDelivered(TextId),
+    AnswerLost(TextId),
     /// The client was sent away before the decider answered here. Not by its id: another may have come by it.
-    Abandoned(Receiver<Admission>),
+    RequestAbandoned(Receiver<Admission>),
     Outcome(Outcome),
     /// None where asking failed.
-    Listed(Option<Listing>),
+    Listed(Option<EndpointList>),
     /// Endpoints that drain or are gone, by an answer that was not whole: nothing else is known of the list.
-    Drained(Vec<Listed>),
+    Drained(Vec<ListedEndpoint>),
     /// Until when the list in force may be acted on, as of when it is whole, and whether a question has failed since.
     ListLease {
         until: Option<Moment>,
@@ -83,37 +83,42 @@
     Reported(Vec<TextId>),
     /// An operator's.
     Order(Order),
-    Settings(Box<Change>),
+    ChangeSettings(Box<SettingsChange>),
     Stop,
 }
 
 /// Settings to be put in force, and who is told whether they are.
-pub struct Change {
+pub struct SettingsChange {
     pub site: Site,
     pub reply: Sender<Result<(), String>>,
 }
 
 /// Brings the terms that the journal knows and those of the settings together, before anything is taken on under them.
 /// Terms that nothing at hand has any more are forgotten.
-pub fn settle(wal: &mut Wal, site: &mut Site, figures: &Figures) -> Table {
-    let known = |wal: &Wal| {
-        let rows = wal.kept().filter_map(|kept| match kept {
-            Kept::Terms { reference, terms } => Some((reference.clone(), terms.clone())),
-            Kept::Out { .. } => None,
+pub fn reconcile_products(journal: &mut TextJournal, site: &mut Site, figures: &Figures) -> ProductTable {
+    let known = |journal: &TextJournal| {
+        let rows = journal.auxiliary_records().filter_map(|kept| match kept {
+            AuxiliaryRecord::Terms { reference, terms } => Some((reference.clone(), terms.clone())),
+            AuxiliaryRecord::Out { .. } => None,
         });
         rows.collect::<Vec<_>>()
     };
-    let mut all = Table::new(known(wal));
-    let in_force: BTreeSet<usize> = all.take(&site.info).into_iter().map(|product| product.0).collect();
-    let owed: BTreeSet<String> = wal.owed().values().map(|owed| owed.info.product.clone()).collect();
+    let mut all = ProductTable::new(known(journal));
+    let in_force: BTreeSet<usize> = all.add_from(&site.info).into_iter().map(|product| product.0).collect();
+    let owed: BTreeSet<String> =
+        journal.outstanding().values().map(|owed| owed.info.product.clone()).collect();
     let wanted = |reference: &str| {
         owed.contains(reference) || all.find(reference).is_some_and(|product| in_force.contains(&product.0))
     };
-    wal.drop_kept(|kept| matches!(kept, Kept::Terms { reference, .. } if !wanted(reference)));
-    let mut table = Table::new(known(wal));
-    let products = table.take(&site.info);
+    journal.remove_auxiliary(
+        |kept| matches!(kept, AuxiliaryRecord::Terms { reference, .. } if !wanted(reference)),
+    );
+    let mut table = ProductTable::new(known(journal));
+    let products = table.add_from(&site.info);
     for (reference, terms) in table.rows() {
-        if !wal.keep(Kept::Terms { reference: reference.clone(), terms: terms.clone() }) {
+        if !journal
+            .add_auxiliary(AuxiliaryRecord::Terms { reference: reference.clone(), terms: terms.clone() })
+        {
             log!("the journal has no room for what {reference} stands for");
         }
     }
@@ -121,7 +126,7 @@
     table
 }
 
-fn name_products(site: &mut Site, table: &Table, products: &[ProductId], figures: &Figures) {
+fn name_products(site: &mut Site, table: &ProductTable, products: &[ProductId], figures: &Figures) {
     let rows = || products.iter().map(|product| table.row(*product));
     site.references = rows().map(|(reference, _)| reference.clone()).collect();
     site.ends = rows().map(|(_, terms)| figures.product(&terms.name)).collect();
@@ -137,18 +142,18 @@
 pub struct Decider {
     pub clock: Clock,
     /// Where what is told of the list is kept for the next life; none where no platform tells it.
-    pub list_keeper: Option<ListKeeper>,
+    pub list_saver: Option<ListSaver>,
     pub limits: Arc<Limits>,
     pub counters: Arc<Counters>,
     pub figures: Arc<Figures>,
     pub site: Arc<InForce>,
-    pub table: Table,
+    pub table: ProductTable,
     pub trunk: Arc<Trunk>,
-    pub list: Sender<list::Ask>,
+    pub list: Sender<list::ListRequest>,
     pub notices: Sender<Notice>,
-    pub wal: Wal,
+    pub journal: TextJournal,
     pub seed: u64,
-    pub known: Listing,
+    pub known: EndpointList,
     /// What the process before left, if it left in order.
     pub handover_state: Option<HandoverState>,
     /// Where another process may take over.
@@ -158,32 +163,32 @@
 /// What it takes to let another process take over.
 pub struct Handover {
     pub folder: PathBuf,
-    pub watch: Watch,
+    pub watch: SuccessorWatch,
     pub machine: Incumbent,
     pub intake: Arc<Intake>,
 }
 
 struct Desk {
     clock: Clock,
-    list_keeper: Option<ListKeeper>,
+    list_saver: Option<ListSaver>,
     limits: Arc<Limits>,
     counters: Arc<Counters>,
     figures: Arc<Figures>,
     site: Arc<Site>,
     in_force: Arc<InForce>,
-    table: Table,
+    table: ProductTable,
     /// By product, as the decisions number them.
     ends: Vec<Arc<Ends>>,
     trunk: Arc<Trunk>,
-    list: Sender<list::Ask>,
+    list: Sender<list::ListRequest>,
     notices: Sender<Notice>,
-    wal: Wal,
+    journal: TextJournal,
     rules: Rules,
     texts_per_call: Vec<usize>,
-    places: Places,
-    ids: Ids,
+    endpoints: EndpointTable,
+    ids: RequestIds,
     dests: Names<u64>,
-    keys: Keys,
+    keys: OrderingKeys,
     gates: BTreeMap<String, VecDeque<(TextId, Gate)>>,
     /// Submits without an outcome.
     out: BTreeMap<(TextId, usize), EndpointId>,
@@ -217,7 +222,7 @@
 
 impl Decider {
     /// Reads back what an earlier life left, then works until told to stop and done with it.
-    pub fn run(self, words: Receiver<Word>) {
+    pub fn run(self, words: Receiver<Message>) {
         let site = self.site.get();
         let settings = Settings { products: self.table.products(), ..site.info.decode() };
         let ends = self.table.rows().iter().map(|(_, terms)| self.figures.product(&terms.name)).collect();
@@ -227,27 +232,33 @@
         let (seed, mut known, mut revision) = (self.seed, self.known.members, Some(self.known.revision));
         let (rules, places, ids, dests, keys) = match self.handover_state {
             Some(handover_state) => {
-                let listed = |one: &&(EndpointId, Listed)| one.1.condition != Condition::Deleted;
+                let listed = |one: &&(EndpointId, ListedEndpoint)| one.1.condition != Condition::Deleted;
                 known = handover_state.endpoints.iter().filter(listed).map(|(_, one)| one.clone()).collect();
                 revision = handover_state.revision;
                 let HandoverState { endpoints, next_endpoint, dests, keys, next_key, ids, learnt, .. } =
                     handover_state;
                 (
                     Rules::successor(settings, seed, learnt),
-                    Places::successor(endpoints, next_endpoint),
-                    Ids::successor(ids),
+                    EndpointTable::successor(endpoints, next_endpoint),
+                    RequestIds::successor(ids),
                     Names::of(dests),
-                    Keys::successor(keys, next_key),
+                    OrderingKeys::successor(keys, next_key),
                 )
             }
             None => {
                 let none = Names::of(Vec::new());
-                (Rules::new(settings, seed), Places::default(), Ids::default(), none, Keys::default())
+                (
+                    Rules::new(settings, seed),
+                    EndpointTable::default(),
+                    RequestIds::default(),
+                    none,
+                    OrderingKeys::default(),
+                )
             }
         };
         let mut desk = Desk {
             clock: self.clock,
-            list_keeper: self.list_keeper,
+            list_saver: self.list_saver,
             limits: self.limits,
             counters: self.counters,
             figures: self.figures,
@@ -258,10 +269,10 @@
             trunk: self.trunk,
             list: self.list,
             notices: self.notices,
-            wal: self.wal,
+            journal: self.journal,
             rules,
             texts_per_call,
-            places,
+            endpoints: places,
             ids,
             dests,
             keys,
@@ -284,21 +295,21 @@
         desk.resume();
         desk.decide();
         let left = desk.work(&words);
-        desk.places.all().into_iter().for_each(|at| desk.places.retire(at));
+        desk.endpoints.ids().into_iter().for_each(|at| desk.endpoints.retire(at));
         if left {
             // The lock goes with the process, not before: the next owner may submit what is still out here, and that is
             // over only once this process's connections are.
-            std::mem::forget(desk.wal);
+            std::mem::forget(desk.journal);
         }
     }
 }
 
 impl Desk {
     /// Whether it left its place to another process.
-    fn work(&mut self, words: &Receiver<Word>) -> bool {
+    fn work(&mut self, words: &Receiver<Message>) -> bool {
         loop {
             let wait = self.wake.map_or(Span::ZERO, |at| at.since(self.clock.now()));
-            let mut heard: Vec<Word> = words.recv_timeout(duration(wait)).into_iter().collect();
+            let mut heard: Vec<Message> = words.recv_timeout(duration(wait)).into_iter().collect();
             let late = self.wake.map_or(Span::ZERO, |at| self.clock.now().since(at));
             if late > span(self.limits.stall) {
                 thread::sleep(self.limits.stall_pause);
@@ -308,18 +319,18 @@
             }
             heard.extend(words.try_iter().take(self.limits.mailbox));
             // An answer that has come is worth more than a time that is up.
-            let late = |word: &Word| matches!(word, Word::Outcome(o) if o.verdict == Verdict::TimeOut);
+            let late = |word: &Message| matches!(word, Message::Outcome(o) if o.verdict == Verdict::TimeOut);
             heard.sort_by_key(|word| match word {
                 // Before new texts: those taken on come first, and what ends there makes room.
-                Word::Outcome(_) if !late(word) => 0,
-                Word::Reported(_) => 0,
+                Message::Outcome(_) if !late(word) => 0,
+                Message::Reported(_) => 0,
                 _ if late(word) => 2,
                 _ => 1,
             });
             heard.into_iter().for_each(|word| self.hear(word));
-            self.keys.forget(self.limits.key_rest);
-            self.places.forget(self.limits.place_rest);
-            self.ids.forget(self.limits.id_rest, self.limits.texts);
+            self.keys.remove_expired(self.limits.key_rest);
+            self.endpoints.remove_expired(self.limits.place_rest);
+            self.ids.remove_expired(self.limits.id_rest, self.limits.texts);
             let now = self.clock.now();
             if self.wake.is_none_or(|at| at <= now) {
                 self.events.push(Event::TimerFired);
@@ -345,10 +356,10 @@
     }
 
     /// Takes the next step towards another process's taking over; whether that was the last one.
-    fn hands_over(&mut self, words: &Receiver<Word>) -> bool {
+    fn hands_over(&mut self, words: &Receiver<Message>) -> bool {
         let now = self.clock.now();
         let Some(Handover { watch, machine, intake, folder }) = &mut self.handover else { return false };
-        let asked = watch.asked();
+        let asked = watch.successor_waits();
         let heard = machine.is_leaving() && intake.all_heard();
         let mut step = machine.step(now, Seen { asked, out: !self.out.is_empty(), heard });
         if step == Some(Step::Leave) {
@@ -362,7 +373,7 @@
                 Err(ErrorKind::StorageFull.into())
             };
             let Err(e) = written else {
-                log!("another process takes over; {} texts are owed", self.wal.owed().len());
+                log!("another process takes over; {} texts are owed", self.journal.outstanding().len());
                 // The end that follows is asked for, as one by a signal is.
                 self.handover.iter().for_each(|own| own.intake.stopping.store(true, Ordering::Relaxed));
                 return true;
@@ -398,8 +409,8 @@
 
     /// All that the next owner has to know beside the journal.
     fn handover_state(&self) -> HandoverState {
-        let (endpoints, next_endpoint) = self.places.known();
-        let (keys, next_key) = self.keys.left();
+        let (endpoints, next_endpoint) = self.endpoints.snapshot();
+        let (keys, next_key) = self.keys.snapshot();
         let names = |names: &Names<String>| (0..names.len()).map(|at| names.name(at).clone()).collect();
         HandoverState {
             kinds: names(&self.site.kinds),
@@ -410,35 +421,39 @@
             dests: (0..self.dests.len()).map(|at| *self.dests.name(at)).collect(),
             keys,
             next_key,
-            ids: self.ids.left(),
+            ids: self.ids.finished(),
             learnt: self.rules.learned_state(),
         }
     }
 
     /// Says how the sender stands, for whoever asks for it.
     fn count(&mut self) {
-        self.figures.holds(self.wal.owed().len());
+        self.figures.holds(self.journal.outstanding().len());
         if self.seen.is_none_or(|seen| seen.elapsed() >= self.limits.sight_beat) {
             self.seen = Some(Instant::now());
-            let avoided = self.places.listed().filter(|at| self.rules.avoids(*at)).count();
-            self.figures.sees(self.places.listed().count(), avoided);
+            let avoided = self.endpoints.listed().filter(|at| self.rules.avoids(*at)).count();
+            self.figures.sees(self.endpoints.listed().count(), avoided);
         }
     }
 
     fn done(&self, since: Duration) -> bool {
         let idle = self.out.is_empty() && self.unheard.is_empty();
-        let over = if since < self.limits.stop_submits { idle && self.wal.owed().is_empty() } else { idle };
+        let over = if since < self.limits.stop_submits {
+            idle && self.journal.outstanding().is_empty()
+        } else {
+            idle
+        };
         since >= self.limits.stop_most || (since >= self.limits.stop_least && over)
     }
 
-    fn hear(&mut self, word: Word) {
+    fn hear(&mut self, word: Message) {
         match word {
-            Word::HandIn(text) => self.hand_in(text),
-            Word::Heard(text) => {
-                if !self.open(text, Admission::Known) {
+            Message::HandIn(text) => self.hand_in(text),
+            Message::AnswerDelivered(text) => {
+                if !self.open(text, Admission::AlreadyAccepted) {
                     return;
                 }
-                let Some(owed) = self.wal.owed().get(&text.0) else { return };
+                let Some(owed) = self.journal.outstanding().get(&text.0) else { return };
                 self.counters.taken.add(1);
                 let info = owed.info.clone();
                 let handed = self.handed(text, &info);
@@ -446,25 +461,25 @@
                 log_account!(text = text.0, dest = info.dest, left; "taken");
                 self.pass_gate(text, info.key.as_deref(), Some(Event::Accepted(handed)));
             }
-            Word::Abandoned(answer) => {
+            Message::RequestAbandoned(answer) => {
                 // One that is not answered yet is met by the answer that finds nobody.
-                if let Ok(Admission::Taken(text)) = answer.try_recv() {
-                    self.hear(Word::Gone(text));
+                if let Ok(Admission::Accepted(text)) = answer.try_recv() {
+                    self.hear(Message::AnswerLost(text));
                 }
             }
-            Word::Gone(text) => {
+            Message::AnswerLost(text) => {
                 if !self.open(text, Admission::Full) {
                     return;
                 }
-                let Some(owed) = self.wal.owed().get(&text.0) else { return };
+                let Some(owed) = self.journal.outstanding().get(&text.0) else { return };
                 self.counters.withdrawn.add(1);
                 let (id, key) = (owed.info.id.clone(), owed.info.key.clone());
                 self.over(text);
                 self.ids.remove(&id);
                 self.pass_gate(text, key.as_deref(), None);
             }
-            Word::Outcome(outcome) => {
-                self.came_back(outcome.text, outcome.submit);
+            Message::Outcome(outcome) => {
+                self.submit_ended(outcome.text, outcome.submit);
                 let wait = outcome.retry_after.map_or(0.0, Span::as_millis);
                 log_account!(
                     text = outcome.text.0, submit = outcome.submit, endpoint = outcome.endpoint.0,
@@ -475,11 +490,11 @@
                 );
                 self.log_outcome(&outcome);
                 if outcome.never_ran() {
-                    self.wal.never_ran(outcome.text.0, outcome.submit);
+                    self.journal.record_never_ran(outcome.text.0, outcome.submit);
                 }
                 if outcome.ended || outcome.verdict == Verdict::Delivered {
                     // One given up meanwhile still owes its report, which then does no harm.
-                    if let Some(owed) = self.wal.owed().get(&outcome.text.0)
+                    if let Some(owed) = self.journal.outstanding().get(&outcome.text.0)
                         && owed.report.is_none()
                     {
                         if outcome.verdict == Verdict::Delivered {
@@ -491,39 +506,39 @@
                 }
                 self.events.push(Event::Outcome(outcome));
             }
-            Word::Listed(Some(listing)) => {
+            Message::Listed(Some(listing)) => {
                 self.revision = Some(listing.revision);
-                self.list_keeper.iter_mut().for_each(|keeper| keeper.told(listing.revision));
+                self.list_saver.iter_mut().for_each(|saver| saver.record_revision(listing.revision));
                 let scope = if listing.complete { Scope::Complete } else { Scope::Partial };
                 self.listed(scope, listing.members);
             }
-            Word::Drained(members) => {
+            Message::Drained(members) => {
                 self.listed(Scope::Partial, members);
-                self.list_keeper.iter_mut().for_each(|keeper| keeper.keep(self.places.serving()));
+                self.list_saver.iter_mut().for_each(|saver| saver.save(self.endpoints.serving()));
             }
-            Word::ListLease { until, as_of, failed } => {
+            Message::ListLease { until, as_of, failed } => {
                 self.events.push(Event::ListLease(until));
-                if let Some(keeper) = &mut self.list_keeper
-                    && keeper.confirmed(as_of, failed)
+                if let Some(saver) = &mut self.list_saver
+                    && saver.record_confirmation(as_of, failed)
                 {
-                    keeper.keep(self.places.serving());
+                    saver.save(self.endpoints.serving());
                 }
             }
-            Word::Listed(None) => {
+            Message::Listed(None) => {
                 self.events.push(Event::ListReceived { scope: Scope::Error, entries: Vec::new() })
             }
-            Word::Reported(texts) => {
+            Message::Reported(texts) => {
                 for text in texts {
                     self.counters.reported.add(1);
-                    let Some(owed) = self.wal.owed().get(&text.0) else { continue };
+                    let Some(owed) = self.journal.outstanding().get(&text.0) else { continue };
                     let (id, key) = (owed.info.id.clone(), owed.info.key.clone());
                     let ends = self.ends_of(&owed.info.product);
                     match owed.report {
                         Some(Report::Undeliverable) => ends.errored.add(1),
                         _ => ends.deferred.add(1),
                     }
-                    self.wal.reported(text.0);
-                    self.ids.over(&id);
+                    self.journal.record_reported(text.0);
+                    self.ids.mark_finished(&id);
                     self.pass_gate(text, key.as_deref(), None);
                     if let Some(key) = key {
                         self.keys.release(&key);
@@ -531,9 +546,9 @@
                     self.events.push(Event::EndReported(text));
                 }
             }
-            Word::Order(order) => self.order(order),
-            Word::Settings(change) => self.change(*change),
-            Word::Stop => _ = self.stopping.get_or_insert_with(Instant::now),
+            Message::Order(order) => self.order(order),
+            Message::ChangeSettings(change) => self.change(*change),
+            Message::Stop => _ = self.stopping.get_or_insert_with(Instant::now),
         }
     }
 
@@ -541,27 +556,27 @@
     fn ends_of(&self, reference: &str) -> Arc<Ends> {
         match self.table.find(reference) {
             Some(product) => Arc::clone(&self.ends[product.0]),
-            None => self.figures.product(terms::name_of(reference)),
+            None => self.figures.product(product_table::product_name(reference)),
         }
     }
 
     /// Takes an endpoint out or gives it back. It is in force from now on: nothing new goes there in the step that writes
     /// the order down. The answer follows the journal.
     fn order(&mut self, order: Order) {
-        let known = self.places.find(&order.endpoint);
+        let known = self.endpoints.find(&order.endpoint);
         let is_out = self.out_by_hand().any(|name| name == order.endpoint);
         if known.is_none() && !is_out {
             _ = order.reply.try_send(Err(Refusal::UnknownEndpoint));
             return;
         }
-        let kept = Kept::Out { endpoint: order.endpoint.clone() };
+        let kept = AuxiliaryRecord::Out { endpoint: order.endpoint.clone() };
         let late = Instant::now() >= order.by;
-        if late || (order.out && !is_out && !self.wal.keep(kept.clone())) {
+        if late || (order.out && !is_out && !self.journal.add_auxiliary(kept.clone())) {
             _ = order.reply.try_send(Err(Refusal::NotNow));
             return;
         }
         if !order.out {
-            self.wal.drop_kept(|other| *other == kept);
+            self.journal.remove_auxiliary(|other| *other == kept);
         }
         self.maintain(&order.endpoint, order.out);
         if is_out == order.out {
@@ -573,17 +588,17 @@
     }
 
     fn out_by_hand(&self) -> impl Iterator<Item = &str> {
-        self.wal.kept().filter_map(|kept| match kept {
-            Kept::Out { endpoint } => Some(endpoint.as_str()),
-            Kept::Terms { .. } => None,
+        self.journal.auxiliary_records().filter_map(|kept| match kept {
+            AuxiliaryRecord::Out { endpoint } => Some(endpoint.as_str()),
+            AuxiliaryRecord::Terms { .. } => None,
         })
     }
 
     /// Tells the decisions; connections of one that was taken out end as they come to rest.
     fn maintain(&mut self, name: &str, out_of_service: bool) {
-        let Some(endpoint) = self.places.find(name) else { return };
+        let Some(endpoint) = self.endpoints.find(name) else { return };
         if out_of_service {
-            self.places.retire(endpoint);
+            self.endpoints.retire(endpoint);
         }
         self.events.push(Event::Maintenance { endpoint, out_of_service });
     }
@@ -598,29 +613,33 @@
                 log!("{} is {} by hand", order.endpoint, if order.out { "taken out" } else { "given back" });
                 continue;
             }
-            let kept = Kept::Out { endpoint: order.endpoint.clone() };
+            let kept = AuxiliaryRecord::Out { endpoint: order.endpoint.clone() };
             match order.out {
-                true if written => self.wal.drop_kept(|other| *other == kept),
-                true => self.wal.forget_kept(&kept),
-                false => _ = self.wal.keep(kept),
+                true if written => self.journal.remove_auxiliary(|other| *other == kept),
+                true => self.journal.abandon_auxiliary(&kept),
+                false => _ = self.journal.add_auxiliary(kept),
             }
             self.maintain(&order.endpoint, !order.out);
         }
     }
 
     /// Puts other settings in force, or none of them.
-    fn change(&mut self, change: Change) {
-        let Change { mut site, reply } = change;
+    fn change(&mut self, change: SettingsChange) {
+        let SettingsChange { mut site, reply } = change;
         let before = self.table.len();
-        let products = self.table.take(&site.info);
-        let rows: Vec<Kept> = self.table.rows()[before..]
+        let products = self.table.add_from(&site.info);
+        let rows: Vec<AuxiliaryRecord> = self.table.rows()[before..]
             .iter()
-            .map(|(reference, terms)| Kept::Terms { reference: reference.clone(), terms: terms.clone() })
+            .map(|(reference, terms)| AuxiliaryRecord::Terms {
+                reference: reference.clone(),
+                terms: terms.clone(),
+            })
             .collect();
-        let kept = self.table.len() <= self.limits.terms && rows.iter().all(|row| self.wal.keep(row.clone()));
+        let kept = self.table.len() <= self.limits.terms
+            && rows.iter().all(|row| self.journal.add_auxiliary(row.clone()));
         if !kept || !self.flush() {
-            rows.iter().for_each(|row| self.wal.forget_kept(row));
-            self.table.cut_back(before);
+            rows.iter().for_each(|row| self.journal.abandon_auxiliary(row));
+            self.table.truncate(before);
             _ = reply.try_send(Err("the journal has no room for other terms".into()));
             return;
         }
@@ -630,7 +649,7 @@
         let settings = Settings { products: self.table.products(), ..site.info.decode() };
         self.texts_per_call = settings.kinds.iter().map(|kind| kind.texts_per_call).collect();
         let longest = site.references.iter().chain(&site.info.localities).map(String::len).max().unwrap_or(0);
-        self.wal.reserve_for(wal::reserve(site.info.ceilings.max_attempts, longest));
+        self.journal.raise_reserve(text_journal::reserve_bytes(site.info.ceilings.max_attempts, longest));
         self.events.push(Event::Settings(settings));
         self.revision = None;
         self.site = Arc::new(site);
@@ -648,10 +667,10 @@
     fn hand_in(&mut self, text: HandIn) {
         let HandIn { mut info, body, proven, came, reply } = text;
         let late = self.stopping.is_some_and(|since| since.elapsed() >= self.limits.stop_submits);
-        let full = self.wal.held() >= self.site.info.ceilings.most_held || late;
-        let form = info.form(&body);
+        let full = self.journal.unfinished() >= self.site.info.ceilings.most_held || late;
+        let form = info.fingerprint(&body);
         if let Some(known) = self.ids.get(&info.id) {
-            if known.form != form {
+            if known.checksum != form {
                 self.counters.conflicts.add(1);
                 // Where this sender was slow, a stranger's text may have come in under the id of a client's own before
                 // that one was read: passed on, it would be void, and so would be all that travels with it. While
@@ -659,7 +678,7 @@
                 let unpromised = known.text.filter(|text| self.replies.iter().any(|(id, _)| id == text));
                 let undone = unpromised.is_some_and(|earlier| !known.proven && self.undo(earlier));
                 if !undone || !proven {
-                    _ = reply.try_send(Admission::Other);
+                    _ = reply.try_send(Admission::IdConflict);
                     return;
                 }
             } else {
@@ -668,13 +687,13 @@
                 match known.text.and_then(|known| self.unheard.get_mut(&known)) {
                     Some(others) if others.len() < self.limits.clients => others.push(reply),
                     Some(_) => _ = reply.try_send(Admission::Full),
-                    None => _ = reply.try_send(Admission::Known),
+                    None => _ = reply.try_send(Admission::AlreadyAccepted),
                 }
                 return;
             }
         }
         if !self.dests.knows(&info.dest) {
-            _ = reply.try_send(Admission::NoSuchDest);
+            _ = reply.try_send(Admission::UnknownDestination);
             return;
         }
         let now = self.clock.now();
@@ -685,24 +704,24 @@
             self.counters.turned_away_late.add(1);
             log_account!(dest = info.dest, why = "late"; "turned-away");
             log_request!(id = info.id, dest = info.dest, reason = "late"; "refused");
-            _ = reply.try_send(Admission::Later(again));
+            _ = reply.try_send(Admission::RetryAfter(again));
             return;
         }
         let (id, key) = (info.id.clone(), info.key.clone());
         let dest = info.dest;
         let why = if late { "stopping" } else { "full" };
-        let taken = if full { None } else { self.wal.take(info, body, now) };
+        let taken = if full { None } else { self.journal.accept(info, body, now) };
         let Some(text) = taken.map(TextId) else {
             self.counters.turned_away.add(1);
-            log_account!(dest, held = self.wal.held(), why; "turned-away");
+            log_account!(dest, held = self.journal.unfinished(), why; "turned-away");
             log_request!(id, dest, reason = why; "refused");
             _ = reply.try_send(Admission::Full);
             return;
         };
-        self.ids.put(id, text, form, proven);
+        self.ids.insert(id, text, form, proven);
         self.unheard.insert(text, Vec::new());
         if let Some(key) = key {
-            self.keys.place(&key);
+            self.keys.acquire(&key);
             self.gates.entry(key).or_default().push_back((text, Gate::Shut));
         }
         self.replies.push((text, reply));
@@ -710,10 +729,11 @@
 
     /// Takes back a text whose client has not been answered yet, as if it had not come; whether that could be done.
     fn undo(&mut self, text: TextId) -> bool {
-        let Some(owed) = self.wal.owed().get(&text.0) else { return false };
+        let Some(owed) = self.journal.outstanding().get(&text.0) else { return false };
         let (id, key) = (owed.info.id.clone(), owed.info.key.clone());
-        self.replies.retain(|(other, reply)| *other != text || reply.try_send(Admission::Other).is_err());
-        self.open(text, Admission::Other);
+        self.replies
+            .retain(|(other, reply)| *other != text || reply.try_send(Admission::IdConflict).is_err());
+        self.open(text, Admission::IdConflict);
         self.over(text);
         self.ids.remove(&id);
         self.pass_gate(text, key.as_deref(), None);
@@ -756,30 +776,31 @@
 
     /// Nothing more is owed for a text, nor has a report to go.
     fn over(&mut self, text: TextId) {
-        if let Some(owed) = self.wal.owed().get(&text.0) {
-            self.ids.over(&owed.info.id);
+        if let Some(owed) = self.journal.outstanding().get(&text.0) {
+            self.ids.mark_finished(&owed.info.id);
             if let Some(key) = &owed.info.key {
                 self.keys.release(key);
             }
-            self.wal.ended(text.0, None);
+            self.journal.record_end(text.0, None);
         }
     }
 
     fn resume(&mut self) {
-        let left: Vec<_> = self.wal.owed().iter().map(|(text, owed)| (TextId(*text), owed.clone())).collect();
+        let left: Vec<_> =
+            self.journal.outstanding().iter().map(|(text, owed)| (TextId(*text), owed.clone())).collect();
         for (text, owed) in left {
             let info = &owed.info;
             if self.table.find(&info.product).is_none() {
                 log!("{} is of a product that is no more; it is given up", info.id);
-                self.wal.ended(text.0, Some(Report::Undeliverable));
+                self.journal.record_end(text.0, Some(Report::Undeliverable));
             }
             self.counters.resumed.add(1);
-            self.ids.put(info.id.clone(), text, info.form(&owed.body), true);
+            self.ids.insert(info.id.clone(), text, info.fingerprint(&owed.body), true);
             if let Some(key) = &info.key {
-                self.keys.place(key);
+                self.keys.acquire(key);
                 self.gates.entry(key.clone()).or_default().push_back((text, Gate::Shut));
             }
-            match self.wal.owed().get(&text.0).and_then(|owed| owed.report) {
+            match self.journal.outstanding().get(&text.0).and_then(|owed| owed.report) {
                 Some(report) => {
                     self.notes.push(Notice { text, id: info.id.clone(), report });
                     // Those behind it in its key wait for the report to be heard where they can be ended in time.
@@ -802,31 +823,31 @@
         }
     }
 
-    fn listed(&mut self, scope: Scope, members: Vec<Listed>) {
+    fn listed(&mut self, scope: Scope, members: Vec<ListedEndpoint>) {
         let mut entries = Vec::new();
         let mut told = BTreeSet::new();
         let out: Vec<String> = self.out_by_hand().map(str::to_owned).collect();
         for member in members {
-            if let Some(before) = self.places.replaced_by(&member) {
+            if let Some(before) = self.endpoints.remove_if_replaced(&member) {
                 entries.extend(self.deleted(before));
             }
-            let from = self.places.condition(&member.name);
+            let from = self.endpoints.condition(&member.name);
             if from != Some(member.condition) {
                 let (to, revision) = (member.condition, self.revision);
                 log_state!(endpoint = member.name, from:?, to:?, revision:?; "an endpoint changed its state");
             }
-            let (at, place) = self.places.put(&member);
+            let (at, place) = self.endpoints.upsert(&member);
             let (dest, condition, units) = (member.dest, member.condition, member.units);
             log_account!(endpoint = at.0, name = member.name, dest, kind = member.kind.0, condition:?, units; "listed");
             told.insert(at);
             let moved = member.address.is_some() && member.address != place.address;
             place.address = member.address.or(place.address);
             if moved {
-                self.places.retire(at);
+                self.endpoints.retire(at);
                 self.withhold_all(at);
             }
             if member.condition == Condition::Deleted {
-                self.places.leaves(at);
+                self.endpoints.mark_unlisted(at);
             }
             entries.push(Entry {
                 endpoint: at,
@@ -838,8 +859,8 @@
             });
         }
         if scope == Scope::Complete {
-            let off = self.places.all().into_iter().filter(|at| !told.contains(at));
-            off.for_each(|at| self.places.leaves(at));
+            let off = self.endpoints.ids().into_iter().filter(|at| !told.contains(at));
+            off.for_each(|at| self.endpoints.mark_unlisted(at));
         }
         self.events.push(Event::ListReceived { scope, entries });
         // What is on the list anew is not known there as taken out.
@@ -848,7 +869,7 @@
 
     /// What the decisions are told of an endpoint that is over though the list goes on to name another one like it.
     fn deleted(&mut self, endpoint: EndpointId) -> Option<Entry> {
-        let place = self.places.get(endpoint)?;
+        let place = self.endpoints.get(endpoint)?;
         let (dest, kind, zone, units) = (place.dest, place.kind, place.zone, place.units);
         let dest = DestId(self.dests.place(&dest));
         Some(Entry { endpoint, dest, kind, zone, units, condition: Condition::Deleted })
@@ -858,7 +879,7 @@
     fn withhold_all(&mut self, endpoint: EndpointId) {
         let out = self.out.iter().filter(|(_, to)| **to == endpoint);
         for submit in out.map(|(submit, _)| *submit).collect::<Vec<_>>() {
-            self.places.ask(endpoint, peer::Ask::Withhold(submit));
+            self.endpoints.send_to_peers(endpoint, peer::Ask::Withhold(submit));
         }
     }
 
@@ -876,7 +897,7 @@
                         log!("a submit for a text that is not at hand is dropped");
                         continue;
                     };
-                    let kind = self.places.get(endpoint).map_or(0, |place| place.kind.0);
+                    let kind = self.endpoints.get(endpoint).map_or(0, |place| place.kind.0);
                     let most = self.texts_per_call.get(kind).copied().unwrap_or(1);
                     let open = calls.iter_mut().rev().find(|(to, _)| *to == endpoint);
                     match open.filter(|(_, call)| call.parts.len() < most) {
@@ -902,8 +923,8 @@
                     asks.extend(out.map(|endpoint| (*endpoint, peer::Ask::Withhold((text, submit)))));
                 }
                 Action::CloseIdle { endpoint } => asks.push((endpoint, peer::Ask::CloseIdle)),
-                Action::Subscribe { on } => _ = self.list.try_send(list::Ask::Watch(on)),
-                Action::ReadList => _ = self.list.try_send(list::Ask::Read),
+                Action::Subscribe { on } => _ = self.list.try_send(list::ListRequest::Watch(on)),
+                Action::ReadList => _ = self.list.try_send(list::ListRequest::Read),
                 Action::WakeAt(at) => self.wake = Some(at),
                 Action::Log(note) => log!("{note}"),
                 // This protocol has neither probes nor words between senders.
@@ -922,9 +943,9 @@
             if written { self.carry(endpoint, call) } else { self.not_sent(endpoint, call) }
         }
         for (endpoint, ask) in asks {
-            self.places.ask(endpoint, ask);
+            self.endpoints.send_to_peers(endpoint, ask);
         }
-        self.places.ask_again();
+        self.endpoints.resend_queued();
     }
 
     fn submit(
@@ -935,7 +956,7 @@
         now: Moment,
         (time_out, send_deadline): (Span, Moment),
     ) -> Option<Part> {
-        let owed = self.wal.owed().get(&text.0)?;
+        let owed = self.journal.outstanding().get(&text.0)?;
         let part = Part {
             text,
             submit: owed.submits(),
@@ -945,10 +966,10 @@
             by: at + duration(time_out),
             send_deadline: at + duration(send_deadline.since(now)),
         };
-        let place = self.places.get(endpoint)?;
-        place.out += 1;
+        let place = self.endpoints.get(endpoint)?;
+        place.in_flight += 1;
         let zone = self.site.zones.name(place.zone.0);
-        self.wal.submitted(text.0, now, zone);
+        self.journal.record_submit(text.0, now, zone);
         self.out.insert((text, part.submit), endpoint);
         self.counters.submitted.add(1);
         log_account!(text = text.0, submit = part.submit, endpoint = endpoint.0; "submit");
@@ -958,14 +979,14 @@
     }
 
     fn log_outcome(&mut self, outcome: &Outcome) {
-        let Some(owed) = self.wal.owed().get(&outcome.text.0) else { return };
+        let Some(owed) = self.journal.outstanding().get(&outcome.text.0) else { return };
         let (id, submit, ms) = (&owed.info.id, outcome.submit, outcome.latency.as_millis());
-        let endpoint = self.places.get(outcome.endpoint).map(|place| place.name.as_str());
+        let endpoint = self.endpoints.get(outcome.endpoint).map(|place| place.name.as_str());
         log_request!(id, submit, endpoint:?, reason:? = outcome.verdict, in_doubt = outcome.in_doubt, ms; "call ended");
     }
 
     fn give_up(&mut self, text: TextId, report: Report) {
-        let Some(owed) = self.wal.owed().get(&text.0) else { return };
+        let Some(owed) = self.journal.outstanding().get(&text.0) else { return };
         let id = owed.info.id.clone();
         let (dest, submits) = (owed.info.dest, owed.submits());
         let left = Moment::from_millis(owed.info.until_ms).since(self.clock.now()).as_millis();
@@ -984,32 +1005,36 @@
                 log_decision!(text = id, dest, submits, reason; "undeliverable");
             }
         }
-        self.wal.ended(text.0, Some(report));
+        self.journal.record_end(text.0, Some(report));
         self.notes.push(Notice { text, id, report });
     }
 
     /// Writes what was decided, then lets it be known: answers to clients and reports.
     fn flush(&mut self) -> bool {
-        let compactions = self.wal.compactions;
-        let flushed = self.wal.flush();
-        self.counters.compactions.add(self.wal.compactions - compactions);
+        let compactions = self.journal.compactions;
+        let flushed = self.journal.flush();
+        self.counters.compactions.add(self.journal.compactions - compactions);
         if let Err(e) = &flushed {
             log!("the log can't be written: {e}");
         }
         for (text, reply) in std::mem::take(&mut self.replies) {
             if flushed.is_ok() {
-                if reply.try_send(Admission::Taken(text)).is_err() {
-                    self.hear(Word::Gone(text));
+                if reply.try_send(Admission::Accepted(text)).is_err() {
+                    self.hear(Message::AnswerLost(text));
                 }
                 continue;
             }
-            let Some(owed) = self.wal.owed().get(&text.0) else { continue };
+            let Some(owed) = self.journal.outstanding().get(&text.0) else { continue };
             let key = owed.info.key.clone();
             self.ids.remove(&owed.info.id);
-            let answer = if self.wal.may_be_found(text.0) { Admission::Unsure } else { Admission::Full };
+            let answer = if self.journal.may_be_recovered(text.0) {
+                Admission::Indeterminate
+            } else {
+                Admission::Full
+            };
             self.open(text, answer);
             key.iter().for_each(|key| self.keys.release(key));
-            self.wal.forget(text.0);
+            self.journal.abandon(text.0);
             self.pass_gate(text, key.as_deref(), None);
             self.counters.turned_away.add(1);
             _ = reply.try_send(answer);
@@ -1028,7 +1053,7 @@
         }
         let now = self.clock.now();
         let may_go = |notice: &mut Notice| {
-            let owed = self.wal.owed().get(&notice.text.0);
+            let owed = self.journal.outstanding().get(&notice.text.0);
             written || owed.is_none_or(|owed| now >= Moment::from_millis(owed.info.until_ms))
         };
         for notice in self.notes.extract_if(.., may_go) {
@@ -1044,7 +1069,7 @@
     }
 
     fn carry(&mut self, endpoint: EndpointId, call: Call) {
-        let Some(place) = self.places.get(endpoint) else { return self.not_sent(endpoint, call) };
+        let Some(place) = self.endpoints.get(endpoint) else { return self.not_sent(endpoint, call) };
         if place.peer.is_none()
             && let Some(address) = place.address
         {
@@ -1067,16 +1092,16 @@
         }
     }
 
-    fn came_back(&mut self, text: TextId, submit: usize) {
-        let place = self.out.remove(&(text, submit)).and_then(|endpoint| self.places.get(endpoint));
-        place.into_iter().for_each(|place| place.came_back());
+    fn submit_ended(&mut self, text: TextId, submit: usize) {
+        let place = self.out.remove(&(text, submit)).and_then(|endpoint| self.endpoints.get(endpoint));
+        place.into_iter().for_each(|place| place.submit_ended());
     }
 
     /// The submits count, as the decisions have it, but nothing left.
     fn not_sent(&mut self, endpoint: EndpointId, call: Call) {
         for part in call.into_parts() {
-            self.came_back(part.text, part.submit);
-            self.wal.never_ran(part.text.0, part.submit);
+            self.submit_ended(part.text, part.submit);
+            self.journal.record_never_ran(part.text.0, part.submit);
             self.counters.not_sent.add(1);
             self.events.push(Event::Outcome(Outcome {
                 text: part.text,
--- a/crates/sender/tests/sender/crossings.rs
+++ b/crates/sender/tests/sender/crossings.rs
@@ -6,10 +6,10 @@
 use indigomast::api::{Condition, KindId, TextId, Verdict, ZoneId};
 use indigomast_sender::clock::Clock;
 use indigomast_sender::config::{Config, InForce};
-use indigomast_sender::decider::Word;
-use indigomast_sender::list::{self, List, Listed, Source, Teller};
+use indigomast_sender::decider::Message;
+use indigomast_sender::endpoint_table::EndpointTable;
+use indigomast_sender::list::{self, DiscoverySource, ListSink, ListSource, ListedEndpoint};
 use indigomast_sender::peer::Ask;
-use indigomast_sender::places::Places;
 use indigomast_sender::platform::Platform;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -74,8 +74,8 @@
     }
 }
 
-fn listed(name: &str) -> Listed {
-    Listed {
+fn listed(name: &str) -> ListedEndpoint {
+    ListedEndpoint {
         name: name.into(),
         address: None,
         dest: 0,
@@ -90,16 +90,16 @@
 /// very list still reaches whoever has it, or the call would leave long after its grace.
 #[test]
 fn what_is_decided_on_a_list_reaches_the_calls_of_an_endpoint_that_left_it() {
-    let mut places = Places::default();
-    let at = places.put(&listed("e0")).0;
+    let mut places = EndpointTable::default();
+    let at = places.upsert(&listed("e0")).0;
     let (peer, asks) = bounded(8);
     let place = places.get(at).expect("put");
-    (place.peer, place.out) = (Some(peer), 1);
-    places.leaves(at);
-    places.ask(at, Ask::Withhold((TextId(7), 0)));
+    (place.peer, place.in_flight) = (Some(peer), 1);
+    places.mark_unlisted(at);
+    places.send_to_peers(at, Ask::Withhold((TextId(7), 0)));
     assert!(matches!(asks.try_recv(), Ok(Ask::Retire)));
     assert!(matches!(asks.try_recv(), Ok(Ask::Withhold((TextId(7), 0)))));
-    places.get(at).expect("there").came_back();
+    places.get(at).expect("there").submit_ended();
     assert!(
         matches!(asks.try_recv(), Err(crossbeam_channel::TryRecvError::Disconnected)),
         "nothing is out any more"
@@ -109,15 +109,15 @@
 /// A mailbox is full at the moment of a drain, and the end of the connections is asked for at that moment too.
 #[test]
 fn a_full_mailbox_loses_neither_a_drain_nor_the_end_of_connections() {
-    let mut places = Places::default();
-    let at = places.put(&listed("e0")).0;
+    let mut places = EndpointTable::default();
+    let at = places.upsert(&listed("e0")).0;
     let (peer, asks) = bounded(1);
     peer.send(Ask::CloseIdle).expect("there is room for one");
     let place = places.get(at).expect("put");
-    (place.peer, place.out) = (Some(peer), 1);
-    places.ask(at, Ask::Withhold((TextId(0), 0)));
-    places.leaves(at);
-    places.ask(at, Ask::Revoke((TextId(0), 0)));
+    (place.peer, place.in_flight) = (Some(peer), 1);
+    places.send_to_peers(at, Ask::Withhold((TextId(0), 0)));
+    places.mark_unlisted(at);
+    places.send_to_peers(at, Ask::Revoke((TextId(0), 0)));
     let mut heard = Vec::new();
     for _ in 0..4 {
         heard.push(match asks.try_recv() {
@@ -127,7 +127,7 @@
             Ok(Ask::Revoke(_)) => "revoke",
             _ => "nothing",
         });
-        places.ask_again();
+        places.resend_queued();
     }
     assert_eq!(heard, ["idle", "withhold", "retire", "revoke"]);
 }
@@ -140,19 +140,19 @@
     let folder = Folder::new();
     let Config { limits, site, .. } = Config::parse(&file, folder.state()).expect("well-formed");
     let platform = Arc::new(Platform::at(before.address));
-    let list = List {
+    let list = DiscoverySource {
         platform: Arc::clone(&platform),
         site: Arc::new(InForce::new(site)),
         limits: Arc::new(limits),
         revision: Some(41),
         clock: Clock::start(),
         as_of: Clock::start().now(),
-        asked_in_vain: false,
+        query_failed: false,
     };
     let ((decider, words), (asking, asks)) = (unbounded(), unbounded());
-    let teller = Teller::new(decider, Arc::default());
-    let actor = thread::spawn(move || Box::new(list).run(asks, teller));
-    asking.send(list::Ask::Watch(true)).expect("it listens");
+    let list_sink = ListSink::new(decider, Arc::default());
+    let actor = thread::spawn(move || Box::new(list).run(asks, list_sink));
+    asking.send(list::ListRequest::Watch(true)).expect("it listens");
     let watch = before.next();
     assert_eq!(watch.request.path, "/discovery/hosts?from=41&hold_ms=4000");
     platform.moves(after.address);
@@ -162,12 +162,12 @@
     assert_eq!(first.request.path, "/discovery/hosts", "not from what another one told");
     first.answer(ok_json(r#"{"revision":7,"complete":true,"members":[]}"#));
     assert_eq!(after.next().request.path, "/discovery/hosts?from=7&hold_ms=4000");
-    asking.send(list::Ask::Renew).expect("it listens");
+    asking.send(list::ListRequest::Renew).expect("it listens");
     assert_eq!(after.next().request.path, "/discovery/hosts", "and anew when the news comes");
     let revisions: Vec<u64> = words
         .try_iter()
         .filter_map(|word| match word {
-            Word::Listed(Some(listing)) => Some(listing.revision),
+            Message::Listed(Some(listing)) => Some(listing.revision),
             _ => None,
         })
         .collect();
--- a/crates/sender/tests/sender/edges.rs
+++ b/crates/sender/tests/sender/edges.rs
@@ -10,10 +10,10 @@
 use indigomast_admission::{Budget, Number, Purpose, State, Worth};
 use indigomast_sender::clock::Clock;
 use indigomast_sender::config::{Config, InForce};
-use indigomast_sender::decider::Word;
+use indigomast_sender::decider::Message;
 use indigomast_sender::intake::{Intake, PendingConnection};
 use indigomast_sender::reactor::Session;
-use indigomast_sender::wal::Wal;
+use indigomast_sender::text_journal::TextJournal;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{ErrorKind, Read, Write};
@@ -68,16 +68,16 @@
                 continue; // Not to be seen: docs/crossings.md.
             }
             let folder = Folder::new();
-            let mut wal = Wal::open(&folder.state(), &limits(), begin).expect("opens");
-            let text = wal.take(info(0), vec![1; 8].into(), begin).expect("room");
-            wal.submitted(text, begin, "a");
-            wal.flush().expect("written");
-            drop(wal);
+            let mut journal = TextJournal::open(&folder.state(), &limits(), begin).expect("opens");
+            let text = journal.accept(info(0), vec![1; 8].into(), begin).expect("room");
+            journal.record_submit(text, begin, "a");
+            journal.flush().expect("written");
+            drop(journal);
             // By the true time and by the clock.
             let mut real = begin + Span::millis(gone);
             let off = Span::millis(back);
-            let wal = Wal::open(&folder.state(), &limits(), real - off).expect("opens");
-            let owed = &wal.owed()[&text];
+            let journal = TextJournal::open(&folder.state(), &limits(), real - off).expect("opens");
+            let owed = &journal.outstanding()[&text];
             let mut rules = Rules::new(settings(window), 1);
             let handed = AcceptedText {
                 text: TextId(text),
@@ -277,7 +277,7 @@
 
 /// An intake whose decider is the test, with room for one connection, which has it; nobody looks at it before the test has
 /// a reactor run. It is a new one, or one that rests after a text.
-fn intake(rests: bool) -> (Arc<Intake>, Receiver<Word>, TcpStream) {
+fn intake(rests: bool) -> (Arc<Intake>, Receiver<Message>, TcpStream) {
     let (_discovery, _endpoint, config, folder) = world();
     let Config { mut limits, site, .. } =
         Config::parse(&config.to_string(), folder.state()).expect("well-formed");
@@ -324,7 +324,7 @@
         let work = Arc::clone(&intake);
         let reactor = thread::spawn(move || work.reactor.run(&work));
         let seen = saw(&mut client, b"");
-        let handed = words.try_iter().any(|word| matches!(word, Word::HandIn(_)));
+        let handed = words.try_iter().any(|word| matches!(word, Message::HandIn(_)));
         assert_eq!((handed, seen), (false, expected), "rests: {rests}");
         intake.close(None);
         reactor.join().expect("no panic");
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -5,8 +5,8 @@
 //! departs from it.
 
 use crate::api::*;
-use crate::chance::Chance;
 use crate::connection_sharing;
+use crate::rng::Rng;
 use crate::time::{Moment, Span};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
@@ -382,7 +382,7 @@
 #[derive(Default)]
 pub struct Rules {
     settings: Settings,
-    chance: Chance,
+    rng: Rng,
     endpoints: BTreeMap<EndpointId, Endpoint>,
     routes: BTreeMap<RouteId, Route>,
     holds: BTreeMap<DestId, Hold>,
@@ -478,7 +478,7 @@
 impl Rules {
     /// Starts without texts, endpoints or earlier state; `seed` determines all random choices.
     pub fn new(settings: Settings, seed: u64) -> Rules {
-        Rules { settings, chance: Chance::new(seed), ..Rules::default() }
+        Rules { settings, rng: Rng::new(seed), ..Rules::default() }
     }
 
     /// What a successor needs beside the texts and the list.
@@ -575,7 +575,7 @@
             self.failed_subscribes += 1;
             let pause = INITIAL_SUBSCRIBE_BACKOFF * f64::from(1 << (self.failed_subscribes - 1).min(6));
             let pause = pause.min(self.settings.must_ask_in.max(INITIAL_SUBSCRIBE_BACKOFF))
-                * (0.5 + self.chance.share());
+                * (0.5 + self.rng.next_f64());
             return self.timers.extend([(self.now + pause, Timer::Subscribe)]);
         }
         self.failed_subscribes = 0;
@@ -793,11 +793,11 @@
 
     /// Whether a call with these texts may use a connection that carries other calls.
     fn may_share_connection(&self, kind: KindId, texts: &[TextId]) -> bool {
-        let bears = |id: &TextId| {
+        let may_share = |id: &TextId| {
             let text = &self.texts[id];
-            !text.unbatched && connection_sharing::bears_doubt(self.repeat(text))
+            !text.unbatched && connection_sharing::may_share_connection(self.repeat(text))
         };
-        self.settings.kinds[kind.0].texts_per_call > 1 && texts.iter().all(bears)
+        self.settings.kinds[kind.0].texts_per_call > 1 && texts.iter().all(may_share)
     }
 
     /// Whether one more submit of the text is allowed.
@@ -852,7 +852,7 @@
     fn schedule_retry(&mut self, id: TextId, not_before: Moment) {
         let text = &self.texts[&id];
         let pause = (INITIAL_BACKOFF * f64::from(1 << (text.submits.clamp(1, 16) - 1))).min(MAX_BACKOFF);
-        let at = (self.now + pause * (0.8 + 0.4 * self.chance.share())).max(not_before);
+        let at = (self.now + pause * (0.8 + 0.4 * self.rng.next_f64())).max(not_before);
         let memory_ends = self.memory_ends(text);
         if !self.may_submit(text) || at >= text.valid_until || memory_ends.is_some_and(|end| at >= end) {
             return self.give_up(id);
@@ -1002,7 +1002,7 @@
         let (known, own_share) = (self.known_rate(route_id), self.own_share(route_id));
         let share_interval = Span::from_millis(1000.0 / own_share.max(1e-3));
         let sparse = self.cold_call_interval(route_id, now) > QUICK_FAILURE_PAUSE;
-        let jitter = 0.8 + 0.4 * self.chance.share();
+        let jitter = 0.8 + 0.4 * self.rng.next_f64();
         let unlimited = self.routes[&route_id].pace == 0.0;
         let reported = outcome.allowance.filter(|reported| reported.calls_per_sec > 0.0);
         let start = reported
