--- a/crates/admission/src/connections.rs
+++ b/crates/admission/src/connections.rs
@@ -1,30 +1,30 @@
-//! Places for clients' connections: who gets one, who makes room for whom, and who is turned away on arrival.
+//! Client connections: which ones are admitted, which are evicted for others, and which are rejected on arrival.
 
 use crate::addresses::{Addresses, Network, Prefixes, plain};
 use indigomast::time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 
-/// The carrier's number of a connection; one is never used twice.
+/// The number that the caller gives a connection; it is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionNumber(pub u64);
 
-/// What a connection is about. Where there is no room those named first go first.
+/// The state of a connection. Where there is no room, connections in an earlier state are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
-    /// It has its last answer; only what it still sends is read, so that the answer reaches it.
+    /// The last response was sent; what the client still sends is read only so that the response reaches it.
     Closing,
-    /// It has never sent a whole request.
+    /// No complete request was received yet.
     NoRequest,
-    /// It rests, and has never handed in a text.
+    /// Idle, and no text was ever accepted on it.
     IdleNoText,
     Idle,
-    /// Part of a request is there.
+    /// Part of a further request was received.
     ReadingRequest,
     AwaitingResponse,
 }
 
-/// What is known of a connection that comes.
+/// What is known of the first request of an arriving connection; a later variant has priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
     Unknown,
@@ -32,47 +32,47 @@
     Text,
 }
 
-/// Why a connection is turned away.
+/// Why a connection is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
-    /// No place, and none that holds one is worth less.
+    /// The limit is reached and no open connection has a lower priority.
     Full,
-    /// What is left is kept for clients that are known.
+    /// The remaining connections are reserved for known clients.
     Reserved,
-    /// Its address, or its prefix, holds all that one may.
+    /// Its address, or its prefix, has as many open connections as allowed.
     Address,
     Prefix,
-    /// Its address opens connections faster than one may.
+    /// Its address exceeds the rate of new connections.
     Pace,
-    /// So many requests of its address are being read already.
+    /// As many requests of its address as allowed are being read.
     Reading,
-    /// Told by the carrier: those that make room have not ended yet, and no descriptor is free before they do.
+    /// Used by the caller: no descriptor is free until evicted connections have closed.
     Descriptors,
 }
 
-/// Every limit of connections. What is 0 doesn't bind.
+/// Limits of connections; 0 means unlimited.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     pub max_connections: usize,
-    /// Of the places, those that only known clients may have.
+    /// How many of `max_connections` only known clients may use.
     pub reserved_for_known: usize,
     pub max_per_address: usize,
     pub max_per_prefix: usize,
-    /// New connections that an address may open in a second, and at once.
+    /// Token bucket of new connections of an address: its rate per second and its burst.
     pub new_per_second: f64,
     pub new_burst: f64,
     /// Connections of one address on which a first request, or a further one, is being read.
     pub max_reading_per_address: usize,
     pub prefixes: Prefixes,
-    /// How long a client stays known after a text of it was taken on, and those that always are.
+    /// How long a client stays known after a text of it was accepted, and the networks that are always known.
     pub known_for: Span,
     pub always_known: Vec<Network>,
-    /// Addresses remembered of each sort beside those with open connections.
+    /// Addresses without open connections that are remembered, for known and unknown clients each.
     pub max_remembered: usize,
-    /// Where there is no room, one goes whose request came to a halt for so long.
+    /// A connection whose request made no progress for so long may be evicted.
     pub stalled_after: Span,
-    /// For want of a descriptor, no connection goes that came less long ago and has sent nothing whole: its first request
-    /// may be on the way.
+    /// A shortage of descriptors evicts no connection that is younger than this and has sent no complete request: its
+    /// first request may still be on the way.
     pub first_request_grace: Span,
 }
 
@@ -87,26 +87,26 @@
         number: ConnectionNumber,
         state: State,
     },
-    /// A text on this connection was taken on: its client is known from now on.
+    /// A text on this connection was accepted: its client is known from now on.
     TextAccepted {
         number: ConnectionNumber,
     },
     Closed {
         number: ConnectionNumber,
     },
-    /// There is no descriptor for the next, whatever places there are.
+    /// No descriptor is free for the next connection, even if `max_connections` is not reached.
     DescriptorShortage,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     NoChange,
-    /// It has a place; the other one has to go for it.
+    /// The connection is admitted; `evicted` has to be closed for it.
     Admitted {
         evicted: Option<ConnectionNumber>,
     },
     Rejected(Reason),
-    /// This one has to go.
+    /// This connection has to be closed.
     Evict(ConnectionNumber),
 }
 
@@ -117,7 +117,7 @@
     known: bool,
     state: State,
     since: Moment,
-    /// It was told to go and makes room for another; its end is still to come.
+    /// It was evicted for another connection and has not closed yet.
     leaving: bool,
 }
 
@@ -127,15 +127,16 @@
     }
 }
 
-/// By worth, then by age: the first is the first to go.
+/// The eviction order: by state, then by age.
 type Rank = (State, Moment, ConnectionNumber);
 
-/// The places for clients and what is remembered of their addresses. Each event costs the logarithm of what is open.
+/// The table of client connections and the records of their addresses. Each event takes time logarithmic in the
+/// number of open connections.
 #[derive(Debug, Default)]
 pub struct Connections {
     settings: Settings,
     open: BTreeMap<ConnectionNumber, Connection>,
-    /// Those that hold a place, by who goes first; of strangers alone, and of each address.
+    /// Admitted connections in eviction order: all, those of unknown clients, and those of each address.
     ranks: BTreeSet<Rank>,
     strangers: BTreeSet<Rank>,
     of_address: BTreeMap<IpAddr, BTreeSet<Rank>>,
@@ -150,7 +151,7 @@
         Connections { settings, ..Connections::default() }
     }
 
-    /// Takes what happened and says who gets a place.
+    /// Applies an event and returns what the caller has to do.
     pub fn step(&mut self, now: Moment, event: Event) -> Decision {
         match event {
             Event::Arrived { number, address, priority } => {
@@ -176,7 +177,7 @@
                 Decision::NoChange
             }
             Event::DescriptorShortage => {
-                // Nobody knows yet who waits outside, so those that work keep theirs.
+                // The waiting connection's first request is unknown, so connections that are in use are kept.
                 let least = self.least(now, Some(&self.strangers), Priority::Query);
                 let least = least.or_else(|| self.least(now, Some(&self.ranks), Priority::Text));
                 let Some(least) = least.filter(|least| !self.is_new(now, *least)) else {
@@ -188,38 +189,38 @@
         }
     }
 
-    /// Connections that hold a place, and those told to go whose end is still to come.
+    /// Admitted connections, and evicted ones that have not closed yet.
     pub fn open(&self) -> (usize, usize) {
         (self.ranks.len(), self.open.len() - self.ranks.len())
     }
 
-    /// How many have handed in a text, rest or wait for their answer.
+    /// How many connections are idle after a request or await a response.
     pub fn with_texts(&self) -> usize {
         self.handed_in
     }
 
-    /// Whether it was told to go, or is unknown.
+    /// Whether a connection was evicted, or is not in the table.
     pub fn is_evicted(&self, number: ConnectionNumber) -> bool {
         self.open.get(&number).is_none_or(|connection| connection.leaving)
     }
 
-    /// Connections up to a state, as those at rest when the sender stops.
+    /// Connections in this state or an earlier one, such as the idle ones when the sender stops.
     pub fn in_states_up_to(&self, state: State) -> Vec<ConnectionNumber> {
         self.ranks.iter().take_while(|(at, ..)| *at <= state).map(|(.., number)| *number).collect()
     }
 
-    /// Those that came so long ago and have sent nothing whole.
+    /// Connections open for at least `since` that have sent no complete request.
     pub fn without_request(&self, now: Moment, since: Span) -> Vec<ConnectionNumber> {
         let new = self.ranks.iter().take_while(|(state, ..)| *state <= State::NoRequest);
         new.filter(|(_, at, _)| now.since(*at) >= since).map(|(.., number)| *number).collect()
     }
 
-    /// How many were turned away, by reason.
+    /// The number of rejected connections by reason.
     pub fn rejected(&self) -> impl Iterator<Item = (Reason, u64)> {
         self.rejected.iter().map(|(reason, count)| (*reason, *count))
     }
 
-    /// Addresses that are remembered.
+    /// The number of remembered addresses.
     pub fn remembered_addresses(&self) -> usize {
         self.addresses.len()
     }
@@ -240,7 +241,7 @@
         self.addresses.change(now, address, new_burst.max(1.0), max_remembered, change)
     }
 
-    /// Takes one of the connections that an address may open just now.
+    /// Takes one token for a new connection of an address; false if there is none.
     fn keeps_pace(&mut self, now: Moment, address: IpAddr) -> bool {
         let Settings { new_per_second, new_burst, .. } = self.settings;
         if new_per_second <= 0.0 {
@@ -258,7 +259,7 @@
         })
     }
 
-    /// Whether it came so lately that its first request may still be on the way.
+    /// Whether a connection is so young that its first request may still be on the way.
     fn is_new(&self, now: Moment, number: ConnectionNumber) -> bool {
         let connection = self.open.get(&number);
         connection.is_some_and(|at| {
@@ -266,7 +267,7 @@
         })
     }
 
-    /// The one that goes first among some, if it is worth less than who comes.
+    /// The first of `ranks` in eviction order, if it may be evicted for a connection of this priority.
     fn least(
         &self,
         now: Moment,
@@ -281,7 +282,7 @@
             }
             State::AwaitingResponse => false,
         };
-        // In the order of worth: if the first of a state does not yield, an older one of it does not either.
+        // The set is in eviction order: if the first can't be evicted, none behind it can.
         ranks?.iter().next().filter(yields).map(|(.., number)| *number)
     }
 
@@ -310,8 +311,8 @@
         let record = self.addresses.get(address);
         let (open, read) = record.map_or((0, 0), |record| (record.open, record.reading));
         let mut evicted = None;
-        // Behind one address there may be an offender beside known tills: who comes then takes the place of the least
-        // among its own, and what says nothing goes before what works.
+        // Abusive and legitimate clients may share one address: the new connection then replaces the first one in
+        // eviction order of that address, and silent connections go before those in use.
         if (max_per_address > 0 && open >= max_per_address)
             || (max_reading_per_address > 0 && read >= max_reading_per_address)
         {
@@ -339,7 +340,7 @@
                 strange < max_connections.saturating_sub(reserved_for_known) && held < max_connections
             };
             if !room {
-                // A known client takes the place of the least stranger first, then of the least of all.
+                // A known client replaces a connection of an unknown client first, then any connection.
                 let stranger = self.least(
                     now,
                     Some(&self.strangers),
@@ -403,7 +404,7 @@
 
     fn enters(&mut self, now: Moment, number: ConnectionNumber, state: State) {
         let Some(at) = self.open.get(&number).copied() else { return };
-        // Until its first request is whole a connection has shown nothing.
+        // Before its first request is complete, a connection stays in `NoRequest`.
         if at.state == state || (at.state == State::NoRequest && state == State::ReadingRequest) {
             return;
         }
@@ -416,7 +417,7 @@
         }
     }
 
-    /// It makes room: its place and what its address and prefix hold are free from now on.
+    /// Evicts a connection; it no longer counts for any limit, though it has not closed yet.
     fn leaves(&mut self, now: Moment, number: ConnectionNumber) {
         self.unrank(number);
         let Some(at) = self.open.get_mut(&number) else { return };
--- a/crates/admission/src/overload.rs
+++ b/crates/admission/src/overload.rs
@@ -1,22 +1,22 @@
-//! Overload by time: a text is taken on only if the sender can still answer for it.
+//! Overload detection by delay: a text is accepted only if the sender can still process it in time.
 //!
-//! Rooms counted in places and bytes say nothing of a sender short of processor time: it takes texts on whose time runs
-//! out while it stands still. It is told here how late its own beats came and how old the words in its mailbox were.
+//! Limits in connections and bytes don't cover a sender that is short of processor time: it would accept texts that
+//! expire while it is stalled. The detector gets how late the sender's own ticks were and how long messages queued.
 
 use indigomast::time::{Moment, Span};
 use std::collections::VecDeque;
 
 #[derive(Clone, Copy, Debug)]
 pub struct OverloadSettings {
-    /// Lateness under this is ordinary.
+    /// A delay under this is normal and not recorded.
     pub min_stall: Span,
-    /// For so long after a spell of standing still another one is to be expected.
+    /// How long after a stall another one is expected.
     pub stall_memory: Span,
-    /// Of a text's time, what has to be left beyond the longest spell lately.
+    /// What a text's remaining time has to exceed the longest recent stall by.
     pub margin: Span,
-    /// A word that waited so long for the decider finds its client near the end of its patience.
+    /// A request that queued for so long is refused, since its client is about to time out.
     pub max_queue_wait: Span,
-    /// Bounds of the time after which a client is told to come back.
+    /// Bounds of the retry-after time that a refused client gets.
     pub retry_after_range: (Span, Span),
 }
 
@@ -32,11 +32,11 @@
     }
 }
 
-/// The sender's own lateness, and what follows from it for new texts.
+/// Recent stalls of the sender, and whether a new text can be accepted in view of them.
 #[derive(Clone, Debug)]
 pub struct OverloadDetector {
     settings: OverloadSettings,
-    /// Spells of standing still, longest first; a later and longer one makes an earlier one forgotten.
+    /// Stalls, longest first; a later stall of the same length or longer replaces earlier ones.
     spells: VecDeque<(Moment, Span)>,
 }
 
@@ -45,7 +45,7 @@
         OverloadDetector { settings, spells: VecDeque::new() }
     }
 
-    /// A beat came so much later than it should have; whether that was a spell of standing still.
+    /// Records that a tick was late by `by`; returns whether that counts as a stall.
     pub fn record_delay(&mut self, now: Moment, by: Span) -> bool {
         self.forget(now);
         if by < self.settings.min_stall {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The longest spell that is remembered.
+    /// The longest stall within `stall_memory`.
     pub fn longest_stall(&self, now: Moment) -> Span {
         let lately = self.spells.iter().filter(|(at, _)| now.since(*at) <= self.settings.stall_memory);
         lately.map(|(_, spell)| *spell).max().unwrap_or(Span::ZERO)
@@ -89,10 +89,10 @@
             span.max(least).min(most)
         };
         if waited >= self.settings.max_queue_wait {
-            // Its client leaves before an answer reaches it, or has left.
+            // The client has timed out, or will before a response reaches it.
             return Err(back(waited));
         }
-        // A spell like the last one would see its time run out in silence.
+        // Another stall of that length would let the text expire.
         if longest > Span::ZERO && left < longest + self.settings.margin {
             return Err(back(longest));
         }
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,8 +1,8 @@
-//! The steps by which a new process of a sender takes the place of the old one while texts come in.
+//! The steps by which a new sender process replaces the old one while texts come in.
 //!
-//! Two machines, one for each side, that are told what their process sees and say what it has to do. They guard against two
-//! owners and against none: owning is a lock that the kernel gives back when its process dies, so no step needs the
-//! other side's word. Locks, sockets, files and clocks are left to whoever drives them; `docs/design/operations.md` has the
+//! Two state machines, one for each process, take what their process observes and return what it has to do. They prevent
+//! two owners as well as none: ownership is a lock that the kernel releases when its process dies, so no step needs a
+//! message from the other side. Locks, sockets, files and clocks are left to whoever drives them; `docs/design/operations.md` has the
 //! table of steps.
 //!
 //! ```
@@ -20,11 +20,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// How long calls that are out are waited for once nothing new goes out.
+    /// How long to wait for outstanding calls after submitting stopped.
     pub max_call_drain: Span,
-    /// How long clients that have begun are heard out once nobody new is let in.
+    /// How long to wait for clients already connected after accepting stopped.
     pub max_client_drain: Span,
-    /// How long a successor waits before it says that it is ready though it doesn't own.
+    /// How long a successor waits for ownership before it reports that it is ready.
     pub ready_after: Span,
 }
 
@@ -38,41 +38,41 @@
     }
 }
 
-/// What the old process sees.
+/// What the old process observes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Observation {
     /// A successor waits.
     pub successor_waits: bool,
-    /// Calls are out.
+    /// Calls are outstanding.
     pub calls_out: bool,
-    /// Every client that was let in has its answer, and none can be let in.
+    /// Every accepted client was answered, and no new one can be accepted.
     pub clients_answered: bool,
 }
 
 /// What the old process has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing new goes out. Texts are still taken on, on connections that end with their answer.
+    /// Start no new calls. Texts are still accepted, on connections that close after their response.
     StopSubmitting,
-    /// Nobody new is let in; connections at rest end.
+    /// Accept no new connection and close idle ones.
     StopAccepting,
-    /// Writes what it has learnt and ends. There is no way back from here.
+    /// Write the handover state and exit. This step can't be undone.
     Exit,
-    /// Serves as before.
+    /// Serve as before.
     Resume,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Stage {
     Serving,
-    /// Leaving failed; it serves until this successor is gone or the process is told to stop.
+    /// The exit failed; the process serves until this successor is gone or it is told to stop.
     Staying,
     Quiet(Moment),
     Closing(Moment),
     Left,
 }
 
-/// The side of the process that owns.
+/// The state machine of the process that owns the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Incumbent {
     settings: Settings,
@@ -105,13 +105,13 @@
         step
     }
 
-    /// What it has learnt can't be written, so the next one would break what was promised: it serves on.
+    /// The handover state can't be written, so the successor could break promises made to clients: this process serves on.
     pub fn exit_failed(&mut self) -> Step {
         self.stage = Stage::Staying;
         Step::Resume
     }
 
-    /// Whether steps are being taken.
+    /// Whether a handover is in progress.
     pub fn is_handing_over(&self) -> bool {
         matches!(self.stage, Stage::Quiet(_) | Stage::Closing(_) | Stage::Left)
     }
@@ -120,9 +120,9 @@
 /// What the new process has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuccessorStep {
-    /// Reads what is left and serves.
+    /// Read the state left by the old process and serve.
     TakeOver,
-    /// Says that it is ready: only the operators can end the old process.
+    /// Report readiness: only the operators can end the old process.
     ReportReady,
 }
 
@@ -133,7 +133,7 @@
     Over,
 }
 
-/// The side of the process that waits.
+/// The state machine of the process that waits for ownership.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Successor {
     settings: Settings,
