--- a/crates/sender/src/decider.rs
+++ b/crates/sender/src/decider.rs
@@ -136,6 +136,7 @@
     table
 }
 
+/// Fills in the product references and end counters of a site's settings.
 fn set_site_products(site: &mut Site, table: &ProductTable, products: &[ProductId], figures: &Figures) {
     let rows = || products.iter().map(|product| table.row(*product));
     site.references = rows().map(|(reference, _)| reference.clone()).collect();
@@ -146,7 +147,9 @@
 /// they were handed in, even while an earlier one waits for its client to receive the answer, or for the
 /// acknowledgement of a report left by the previous run.
 enum KeyQueueState {
+    /// The text's event is not known yet; it blocks the later texts of its key.
     Blocked,
+    /// The event to pass to the rules once all earlier texts have passed.
     Ready(Event),
 }
 
@@ -159,12 +162,14 @@
     pub counters: Arc<Counters>,
     pub figures: Arc<Figures>,
     pub site: Arc<InForce>,
+    /// From [`reconcile_products`].
     pub table: ProductTable,
     pub trunk: Arc<Trunk>,
     pub list: Sender<list::ListRequest>,
     pub notices: Sender<Notice>,
     pub journal: TextJournal,
     pub seed: u64,
+    /// The endpoint list to start with.
     pub known: EndpointList,
     /// The state of the previous process, if it handed over in order.
     pub handover_state: Option<HandoverState>,
@@ -176,10 +181,12 @@
 pub struct Handover {
     pub folder: PathBuf,
     pub watch: SuccessorWatch,
+    /// The owner's side of the handover protocol.
     pub machine: Incumbent,
     pub intake: Arc<Intake>,
 }
 
+/// The decider's state while it handles messages.
 struct RunningDecider {
     clock: Clock,
     list_saver: Option<ListSaver>,
@@ -415,6 +422,7 @@
         false
     }
 
+    /// Sets the pause reasons and tells the rules if they changed.
     fn set_pause_reasons(&mut self, pause_reasons: PauseReasons) {
         if pause_reasons != self.pause_reasons {
             self.pause_reasons = pause_reasons;
@@ -451,16 +459,18 @@
         }
     }
 
+    /// Whether the sender can exit, `since` being the time since it was told to stop.
     fn can_exit(&self, since: Duration) -> bool {
         let idle = self.in_flight.is_empty() && self.unanswered.is_empty();
-        let over = if since < self.limits.stop_submits {
+        let finished = if since < self.limits.stop_submits {
             idle && self.journal.outstanding().is_empty()
         } else {
             idle
         };
-        since >= self.limits.stop_most || (since >= self.limits.stop_least && over)
+        since >= self.limits.stop_most || (since >= self.limits.stop_least && finished)
     }
 
+    /// Records one message and queues the events that follow from it for the next step of the rules.
     fn handle(&mut self, message: Message) {
         match message {
             Message::HandIn(text) => self.hand_in(text),
@@ -584,14 +594,14 @@
             _ = order.reply.try_send(Err(Refusal::UnknownEndpoint));
             return;
         }
-        let kept = AuxiliaryRecord::Out { endpoint: order.endpoint.clone() };
+        let record = AuxiliaryRecord::Out { endpoint: order.endpoint.clone() };
         let late = Instant::now() >= order.by;
-        if late || (order.out && !is_out && !self.journal.add_auxiliary(kept.clone())) {
+        if late || (order.out && !is_out && !self.journal.add_auxiliary(record.clone())) {
             _ = order.reply.try_send(Err(Refusal::NotNow));
             return;
         }
         if !order.out {
-            self.journal.remove_auxiliary(|other| *other == kept);
+            self.journal.remove_auxiliary(|other| *other == record);
         }
         self.set_maintenance(&order.endpoint, order.out);
         if is_out == order.out {
@@ -602,6 +612,7 @@
         }
     }
 
+    /// Names of the endpoints that operators have taken out of service.
     fn out_of_service(&self) -> impl Iterator<Item = &str> {
         self.journal.auxiliary_records().filter_map(|kept| match kept {
             AuxiliaryRecord::Out { endpoint } => Some(endpoint.as_str()),
@@ -623,8 +634,8 @@
     fn answer_orders(&mut self, written: bool) {
         for order in std::mem::take(&mut self.pending_orders) {
             let answer = if written { Ok(()) } else { Err(Refusal::NotNow) };
-            let heard = order.reply.try_send(answer).is_ok();
-            if written && heard {
+            let delivered = order.reply.try_send(answer).is_ok();
+            if written && delivered {
                 log!(
                     "{} is {} by an operator",
                     order.endpoint,
@@ -632,11 +643,11 @@
                 );
                 continue;
             }
-            let kept = AuxiliaryRecord::Out { endpoint: order.endpoint.clone() };
+            let record = AuxiliaryRecord::Out { endpoint: order.endpoint.clone() };
             match order.out {
-                true if written => self.journal.remove_auxiliary(|other| *other == kept),
-                true => self.journal.abandon_auxiliary(&kept),
-                false => _ = self.journal.add_auxiliary(kept),
+                true if written => self.journal.remove_auxiliary(|other| *other == record),
+                true => self.journal.abandon_auxiliary(&record),
+                false => _ = self.journal.add_auxiliary(record),
             }
             self.set_maintenance(&order.endpoint, !order.out);
         }
@@ -685,6 +696,7 @@
         waiting.is_some()
     }
 
+    /// Accepts a text into the journal, to be answered after the next flush, or refuses it at once.
     fn hand_in(&mut self, text: HandIn) {
         let HandIn { mut info, body, proven, came, reply } = text;
         let late = self.stopping_since.is_some_and(|since| since.elapsed() >= self.limits.stop_submits);
@@ -724,11 +736,11 @@
         // clients wait for an answer.
         info.until_ms -= self.overload.unread(now, span(self.limits.admission)).as_millis();
         let left = Moment::from_millis(info.until_ms).since(now);
-        if let Err(again) = self.overload.admit(now, left, span(came.elapsed())) {
+        if let Err(retry_after) = self.overload.admit(now, left, span(came.elapsed())) {
             self.counters.turned_away_late.add(1);
             log_account!(dest = info.dest, why = "late"; "turned-away");
             log_request!(id = info.id, dest = info.dest, reason = "late"; "refused");
-            _ = reply.try_send(Admission::RetryAfter(again));
+            _ = reply.try_send(Admission::RetryAfter(retry_after));
             return;
         }
         let (id, key) = (info.id.clone(), info.key.clone());
@@ -765,6 +777,7 @@
         true
     }
 
+    /// The text as the rules take it, with names replaced by indices.
     fn accepted_text(&mut self, text: TextId, info: &TextInfo) -> AcceptedText {
         AcceptedText {
             text,
@@ -814,14 +827,15 @@
         }
     }
 
+    /// Passes the unfinished texts in the journal to the rules and queues the reports not yet acknowledged.
     fn resume_texts(&mut self) {
-        let left: Vec<_> = self
+        let resumed: Vec<_> = self
             .journal
             .outstanding()
             .iter()
             .map(|(text, unfinished)| (TextId(*text), unfinished.clone()))
             .collect();
-        for (text, unfinished) in left {
+        for (text, unfinished) in resumed {
             let info = &unfinished.info;
             if self.table.find(&info.product).is_none() {
                 log!("{}: the settings of its product are missing; the text is given up", info.id);
@@ -860,10 +874,11 @@
         }
     }
 
+    /// Updates the endpoint table from a list and passes the list to the rules.
     fn apply_list(&mut self, scope: Scope, members: Vec<ListedEndpoint>) {
         let mut entries = Vec::new();
         let mut listed = BTreeSet::new();
-        let out: Vec<String> = self.out_of_service().map(str::to_owned).collect();
+        let taken_out: Vec<String> = self.out_of_service().map(str::to_owned).collect();
         for member in members {
             if let Some(before) = self.endpoints.remove_if_replaced(&member) {
                 entries.extend(self.deletion_entry(before));
@@ -901,7 +916,7 @@
         }
         self.pending_events.push(Event::ListReceived { scope, entries });
         // The rules don't know that a newly listed endpoint is out of service, so they are told again.
-        out.iter().for_each(|name| self.set_maintenance(name, true));
+        taken_out.iter().for_each(|name| self.set_maintenance(name, true));
     }
 
     /// The entry that reports an endpoint as deleted to the rules when another one has replaced it under its name.
@@ -914,8 +929,8 @@
 
     /// Cancels all unsent calls to an endpoint whose address has changed: another host may have the old address now.
     fn cancel_unsent_calls(&mut self, endpoint: EndpointId) {
-        let out = self.in_flight.iter().filter(|(_, to)| **to == endpoint);
-        for submit in out.map(|(submit, _)| *submit).collect::<Vec<_>>() {
+        let submits = self.in_flight.iter().filter(|(_, to)| **to == endpoint);
+        for submit in submits.map(|(submit, _)| *submit).collect::<Vec<_>>() {
             self.endpoints.send_to_peers(endpoint, peer::Ask::Withhold(submit));
         }
     }
@@ -926,7 +941,7 @@
         let now = self.clock.moment(at);
         let events = std::mem::take(&mut self.pending_events);
         let mut calls: Vec<(EndpointId, Call)> = Vec::new();
-        let mut asks: Vec<(EndpointId, peer::Ask)> = Vec::new();
+        let mut requests: Vec<(EndpointId, peer::Ask)> = Vec::new();
         for action in self.rules.step(now, events) {
             match action {
                 Action::Submit { text, endpoint, time_out, send_deadline, shares_connection } => {
@@ -953,14 +968,15 @@
                     self.end_with_report(text, Report::Undeliverable);
                 }
                 Action::Revoke { text, submit } => {
-                    let out = self.in_flight.get(&(text, submit));
-                    asks.extend(out.map(|endpoint| (*endpoint, peer::Ask::Revoke((text, submit)))));
+                    let endpoint = self.in_flight.get(&(text, submit));
+                    requests.extend(endpoint.map(|endpoint| (*endpoint, peer::Ask::Revoke((text, submit)))));
                 }
                 Action::CancelUnsent { text, submit } => {
-                    let out = self.in_flight.get(&(text, submit));
-                    asks.extend(out.map(|endpoint| (*endpoint, peer::Ask::Withhold((text, submit)))));
+                    let endpoint = self.in_flight.get(&(text, submit));
+                    requests
+                        .extend(endpoint.map(|endpoint| (*endpoint, peer::Ask::Withhold((text, submit)))));
                 }
-                Action::CloseIdle { endpoint } => asks.push((endpoint, peer::Ask::CloseIdle)),
+                Action::CloseIdle { endpoint } => requests.push((endpoint, peer::Ask::CloseIdle)),
                 Action::Subscribe { on } => _ = self.list.try_send(list::ListRequest::Watch(on)),
                 Action::ReadList => _ = self.list.try_send(list::ListRequest::Read),
                 Action::WakeAt(at) => self.wake_at = Some(at),
@@ -980,12 +996,13 @@
             // A call that is not in the journal must not be sent: a restarted sender would send it again.
             if written { self.send_call(endpoint, call) } else { self.report_not_sent(endpoint, call) }
         }
-        for (endpoint, ask) in asks {
-            self.endpoints.send_to_peers(endpoint, ask);
+        for (endpoint, request) in requests {
+            self.endpoints.send_to_peers(endpoint, request);
         }
         self.endpoints.resend_queued();
     }
 
+    /// Records a submit in the journal and returns its part of a call; `None` if text or endpoint is unknown.
     fn prepare_submit(
         &mut self,
         text: TextId,
@@ -1016,6 +1033,7 @@
         Some(part)
     }
 
+    /// Writes a submit's outcome to the request log.
     fn log_outcome(&mut self, outcome: &Outcome) {
         let Some(unfinished) = self.journal.outstanding().get(&outcome.text.0) else { return };
         let (id, submit, ms) = (&unfinished.info.id, outcome.submit, outcome.latency.as_millis());
@@ -1023,13 +1041,14 @@
         log_request!(id, submit, endpoint:?, reason:? = outcome.verdict, in_doubt = outcome.in_doubt, ms; "call ended");
     }
 
+    /// Ends a text as nacked or undeliverable and queues the report.
     fn end_with_report(&mut self, text: TextId, report: Report) {
         let Some(unfinished) = self.journal.outstanding().get(&text.0) else { return };
         let id = unfinished.info.id.clone();
         let (dest, submits) = (unfinished.info.dest, unfinished.submits());
         let left = Moment::from_millis(unfinished.info.until_ms).since(self.clock.now()).as_millis();
-        let how = if matches!(report, Report::Undeliverable) { "undeliverable" } else { "nacked" };
-        log_account!(text = text.0, dest, submits, left; "{how}");
+        let end = if matches!(report, Report::Undeliverable) { "undeliverable" } else { "nacked" };
+        log_account!(text = text.0, dest, submits, left; "{end}");
         match report {
             Report::Nacked { again_ms } => {
                 let again_ms = again_ms.map_or(-1.0, f64::round);
@@ -1104,19 +1123,20 @@
             }
         }
         if !self.pending_notices.is_empty() {
-            let again = now + span(self.limits.report_pause);
-            self.wake_at = Some(self.wake_at.map_or(again, |wake| wake.min(again)));
+            let retry_at = now + span(self.limits.report_pause);
+            self.wake_at = Some(self.wake_at.map_or(retry_at, |wake_at| wake_at.min(retry_at)));
         }
     }
 
+    /// Passes a call to the endpoint's actor, which is started if there is none.
     fn send_call(&mut self, endpoint: EndpointId, call: Call) {
         let Some(entry) = self.endpoints.get(endpoint) else { return self.report_not_sent(endpoint, call) };
         if entry.peer.is_none()
             && let Some(address) = entry.address
         {
-            let (own, asks) = bounded(self.limits.peer_mailbox);
+            let (own, requests) = bounded(self.limits.peer_mailbox);
             let peer = Peer { endpoint, address, trunk: Arc::clone(&self.trunk), own: own.clone() };
-            match threads::spawn("peer", self.limits.stack, move || peer.run(asks)) {
+            match threads::spawn("peer", self.limits.stack, move || peer.run(requests)) {
                 Ok(_) => entry.peer = Some(own),
                 Err(e) => log!("can't start a thread for {}: {e}", entry.name),
             }
@@ -1133,6 +1153,7 @@
         }
     }
 
+    /// Removes a submit from those in flight.
     fn submit_ended(&mut self, text: TextId, submit: usize) {
         let entry = self.in_flight.remove(&(text, submit)).and_then(|endpoint| self.endpoints.get(endpoint));
         entry.into_iter().for_each(|entry| entry.submit_ended());
