--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -9,7 +9,7 @@
 use indigomast_sender::endpoint_table::EndpointTable;
 use indigomast_sender::limits::{Grant, Limits};
 use indigomast_sender::list::{EndpointList, ListResponse, ListedEndpoint};
-use indigomast_site::{BootInfo, Names, read};
+use indigomast_site::{BootInfo, Names, parse_json};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -115,7 +115,7 @@
 }
 
 pub fn parse_list(text: &str, site: &Site, limits: &Limits) -> Result<EndpointList, String> {
-    EndpointList::of(read::<ListResponse>(text)?, site, limits)
+    EndpointList::of(parse_json::<ListResponse>(text)?, site, limits)
 }
 
 /// The decisions with what stands around them at a sender for each destination.
@@ -142,7 +142,7 @@
         Hollow {
             rules: Rules::new(settings, seed),
             places: EndpointTable::default(),
-            dests: Names::of(Vec::new()),
+            dests: Names::from_list(Vec::new()),
             now,
             next: 0,
             wake: now,
@@ -183,7 +183,7 @@
             told.insert(at);
             place.address = member.address.or(place.address);
             let ListedEndpoint { dest, kind, zone, units, condition, .. } = member;
-            let dest = DestId(self.dests.place(&dest));
+            let dest = DestId(self.dests.index_or_insert(&dest));
             entries.push(Entry { endpoint: at, dest, kind, zone, units, condition });
         }
         if listing.complete {
