--- a/crates/admission/src/addresses.rs
+++ b/crates/admission/src/addresses.rs
@@ -1,4 +1,4 @@
-//! What is remembered of client addresses: a bounded table that no flood of addresses can flush.
+//! A bounded table of client addresses from which a flood of new addresses can't evict the known ones.
 
 use indigomast::time::{Moment, Span};
 use serde::Deserialize;
@@ -7,7 +7,7 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 use std::str::FromStr;
 
-/// How long a prefix is shared by clients that are counted together, in bits.
+/// The length in bits of the address prefix whose clients are counted together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Prefixes {
     pub v4: u8,
@@ -40,7 +40,7 @@
     }
 }
 
-/// An IPv4 client that comes over an IPv6 socket is the same client.
+/// Converts an IPv4-mapped IPv6 address to IPv4: it is the same client.
 pub(crate) fn plain(address: IpAddr) -> IpAddr {
     match address {
         IpAddr::V6(v6) => v6.to_ipv4_mapped().map_or(address, IpAddr::V4),
@@ -103,16 +103,16 @@
     /// Connections open, and those of them on which a request is being read.
     pub open: usize,
     pub reading: usize,
-    /// New connections that it may still open at once, and when that was brought up to date.
+    /// Tokens left for new connections, and when they were last refilled.
     pub tokens: f64,
     pub counted: Moment,
-    /// When it last handed in a text that was taken on.
+    /// When a text of it was last accepted.
     pub valid_at: Option<Moment>,
     pub seen: Moment,
 }
 
-/// Records of addresses: those that are known and those that are not have room of their own, so that strangers push
-/// out strangers only. One with open connections is never forgotten.
+/// Records of addresses. Known and unknown addresses are limited separately, so unknown ones evict only each other.
+/// An address with open connections is never evicted.
 #[derive(Debug, Default)]
 pub(crate) struct Addresses {
     records: BTreeMap<IpAddr, Record>,
@@ -130,8 +130,8 @@
         self.records.len()
     }
 
-    /// Changes the record of an address, made anew with `tokens` where there is none, then keeps the table within
-    /// `most` records at rest of each sort.
+    /// Changes the record of an address, creating it with `tokens` if there is none, then limits the records without
+    /// open connections to `most` for known and unknown addresses each.
     pub fn change<T>(
         &mut self,
         now: Moment,
@@ -164,7 +164,7 @@
         result
     }
 
-    /// Whether a valid text came from there lately.
+    /// Whether a text from this address was accepted within `known_for`.
     pub fn is_known(&self, now: Moment, address: IpAddr, known_for: Span) -> bool {
         let valid_at = self.records.get(&address).and_then(|record| record.valid_at);
         valid_at.is_some_and(|at| now.since(at) <= known_for)
--- a/crates/admission/src/budget.rs
+++ b/crates/admission/src/budget.rs
@@ -1,7 +1,7 @@
-//! Descriptors as one budget, dealt out by tokens that give themselves back.
+//! One budget of file descriptors, handed out as tokens that are released when dropped.
 //!
-//! Each purpose has a share that nobody else can take and may use more while the rest is not needed. So retries
-//! towards gateways can't starve the accept queue, nor that the retries, and neither the log.
+//! Each purpose has a guaranteed share and may use more while others don't need theirs. So retries to gateways can't
+//! starve the accept queue, the accept queue can't starve the retries, and neither can starve the log.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -9,10 +9,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Purpose {
     Client,
-    /// Connections that wait in the accept queue for a place.
+    /// Connections that wait in the accept queue.
     Accept,
     Gateway,
-    /// The log, the list, the notices and the standard streams.
+    /// The sender's own files: the log, the list, the notices and the standard streams.
     Internal,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// What a purpose is sure of, and what it may use at most.
+/// How many descriptors each purpose is guaranteed, and how many it may use at most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shares {
     pub guaranteed: [usize; PURPOSES],
@@ -55,7 +55,7 @@
 }
 
 impl Counts {
-    /// What is promised to others and not yet used by them.
+    /// Guaranteed descriptors that the other purposes don't use yet.
     fn promised(&self, but: usize) -> usize {
         let left = |at: usize| self.shares.guaranteed[at].saturating_sub(self.used[at]);
         (0..PURPOSES).filter(|at| *at != but).map(left).sum()
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug)]
 pub struct Budget(Arc<Mutex<Counts>>);
 
-/// The right to one descriptor; given back when dropped, by whatever way its holder ends.
+/// The right to open one descriptor; released when dropped, also when its holder panics.
 #[derive(Debug)]
 pub struct Token {
     counts: Arc<Mutex<Counts>>,
@@ -88,7 +88,7 @@
 
 impl Budget {
     /// # Panics
-    /// If more is promised than there is: that is a fault of whoever worked out the shares.
+    /// If the guaranteed shares exceed `total`, which is a bug in the caller.
     pub fn new(total: usize, shares: Shares) -> Budget {
         let promised: usize = shares.guaranteed.iter().sum();
         assert!(promised <= total, "{promised} descriptors are promised of {total}");
@@ -99,6 +99,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// A token for one descriptor, or `None` if the purpose may have no more.
     pub fn acquire(&self, purpose: Purpose) -> Option<Token> {
         let taken = self.lock().take(purpose.index());
         taken.then(|| Token { counts: Arc::clone(&self.0), purpose })
@@ -112,7 +113,7 @@
         self.lock().used.iter().sum()
     }
 
-    /// How often there was none for a purpose.
+    /// How often a purpose was refused a descriptor.
     pub fn refused(&self, purpose: Purpose) -> u64 {
         self.lock().refused[purpose.index()]
     }
@@ -123,7 +124,7 @@
         self.purpose
     }
 
-    /// The same descriptor for another purpose, if that has room; otherwise the token as it was.
+    /// Moves the descriptor to another purpose if that one has room; otherwise returns the token unchanged.
     pub fn transfer(mut self, purpose: Purpose) -> Result<Token, Token> {
         let (from, to) = (self.purpose.index(), purpose.index());
         let moved = {
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,10 +1,10 @@
-//! Admission, free of I/O: who may connect, who makes room, who gets a descriptor, and when a text is not taken on
-//! because the sender could no longer answer for it.
+//! Admission without I/O: which clients may connect, which connections are evicted, who gets a descriptor, and when a
+//! text is refused because the sender is overloaded.
 //!
-//! [`Connections`] guards the places for clients against those who take many and give nothing, and keeps a reserve for
-//! clients that are known. [`Budget`] deals out descriptors by tokens that give themselves back. [`OverloadDetector`] is told how
-//! late the sender itself is and says which texts it can still answer for. Which server a text goes to, whether it is
-//! retried and what is nacked is not decided here; sockets, threads and clocks belong to the carrier.
+//! [`Connections`] limits connections against clients that open many and send nothing, and keeps a reserve for known
+//! clients. [`Budget`] hands out descriptors as tokens that are released when dropped. [`OverloadDetector`] gets the
+//! sender's own delays and decides which texts it can still process in time. Which server a text goes to, whether it is
+//! retried and what is nacked is not decided here; sockets, threads and clocks belong to the caller.
 
 mod addresses;
 mod budget;
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -10,16 +10,16 @@
 
 const MANIFEST: &str = "manifest";
 const NEXT_MANIFEST: &str = "manifest.next";
-/// There have to be so many: some are read, some written, some kept for what is still to come.
+/// The least number of segments that fit: some are being compacted, one is written, some are kept free for later records.
 const SEGMENTS: u64 = 8;
-/// A segment written under other settings may be longer than today's; a file beyond this is read so far only.
+/// A segment written under other settings may be longer than the current ones; a longer file is read only up to this.
 const LONGEST_SEGMENT: u64 = 256 << 20;
 
 /// An item's number; one is never used twice in a journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(pub u64);
 
-/// What a commit promises once it has come back.
+/// What a commit guarantees once it has returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
     /// Outlasts the process, not the machine: nothing is synced.
@@ -78,7 +78,7 @@
     }
 }
 
-/// What is read again of an item.
+/// A record of an item as it is read during recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Entry<'a> {
     Open(&'a [u8]),
@@ -92,7 +92,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Full;
 
-/// Bytes that are no records.
+/// Bytes that are not valid records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Damage {
     pub segment: u64,
@@ -100,7 +100,7 @@
     pub bytes: u64,
 }
 
-/// What was found at the start.
+/// What recovery found.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
     pub segments: usize,
@@ -126,7 +126,7 @@
     }
 }
 
-/// What has to be changed in a folder before it is gone on with.
+/// Repairs that recovery has to make before the journal is written to.
 #[derive(Default)]
 struct Mending {
     /// Behind so many bytes of the newest segment.
@@ -190,7 +190,7 @@
     next: u64,
     held: u64,
     waiting: Vec<Record>,
-    /// Written but not synced, in case the sync fails: what a failed sync leaves on the disk nobody knows.
+    /// Written but not synced; kept because the disk content is undefined after a failed sync.
     unsynced: Vec<Record>,
     /// How much of the newest segment counts. After a failed sync that is less than was written.
     sound: u64,
@@ -791,8 +791,8 @@
     fn sync_file(&mut self) -> io::Result<()> {
         let Some(file) = &self.file else { return Ok(()) };
         if let Err(e) = self.store.sync(file) {
-            // What a failed sync leaves nobody knows, and the next one may pass without having written it. All since
-            // the last good one goes again, to a segment of its own, and counts nothing where it lies.
+            // The disk content is undefined after a failed sync, and a later sync may succeed without having written it.
+            // All records since the last good sync are written again to a new segment and ignored in this one.
             self.spoilt = true;
             let again = std::mem::take(&mut self.unsynced);
             self.waiting.splice(0..0, again);
@@ -803,7 +803,7 @@
         Ok(())
     }
 
-    /// Gives back the oldest segments in which nothing open begins.
+    /// Removes the oldest segments that hold the base of no open item.
     fn retire(&mut self, now: Duration, step: &mut Step) -> io::Result<()> {
         let newest = self.segments.back().map_or(0, |segment| segment.number);
         let first = self.based.first_key_value().map_or(newest, |(first, _)| *first).min(newest);
@@ -811,7 +811,7 @@
         if old == 0 && !self.manifest_behind {
             return Ok(());
         }
-        // What was moved out of them has to be there for good before they go.
+        // Records moved out of these segments have to be synced before the segments are removed.
         if !self.unsynced.is_empty() {
             self.sync_now(now, step)?;
         }
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,9 +1,9 @@
-//! A journal of items that are owed, knowing nothing of what they are.
+//! A journal of unfinished items whose content it doesn't interpret.
 //!
-//! An item is opened, noted on and closed. What is open is found again after a crash at any point, as far as the chosen
-//! [`Durability`] promises. Records lie in segments; only the newest is written to. [`Journal::commit`] also moves a few
-//! open items out of the oldest segment, as one record each, so that segments are given back while texts flow and no
-//! step grows with what is held. The format is written down in `docs/journal.md`; all files go through [`Store`], of
+//! An item is opened, gets notes and is closed. Open items are recovered after a crash at any point, as far as the
+//! chosen [`Durability`] promises. Records are stored in segments; only the newest is written to. [`Journal::commit`] also moves a few
+//! open items out of the oldest segment, as one record each, so that segments are freed during normal operation and no
+//! step takes time in proportion to the open items. The format is written down in `docs/journal.md`; all files go through [`Store`], of
 //! which there is one on a folder and one that can fail at every call.
 
 mod format;
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -1,17 +1,17 @@
-//! What every carrier knows of a site: the settings object that a sender is handed at its start, decoded into
-//! what the decisions read, and names turned into small indices.
+//! The settings object that a sender gets at its start, decoded into the settings of the decision logic, and the
+//! mapping of names to small indices.
 
 use indigomast::api::{Kind, ListedRate, Product, Repeat as MayRepeat, Settings};
 use indigomast::time::Span;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// What was wrong, and in which field.
+/// An error message that names the wrong field.
 pub type Complaint = String;
 
-/// Reads JSON; a complaint names the field that is wrong.
+/// Parses JSON; an error names the field that is wrong.
 pub fn parse_json<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, Complaint> {
-    // The path to what is wrong costs time, and next to nothing is ever wrong.
+    // Tracking the path of an error costs time and errors are rare, so it is only done after a failure.
     if let Ok(value) = serde_json::from_str(text) {
         return Ok(value);
     }
@@ -22,7 +22,7 @@
     })
 }
 
-/// Names of the wire in the order in which they were first seen; a name's place is its index.
+/// Names in the order in which they were first seen, each with its index.
 #[derive(Default)]
 pub struct Names<T: Ord + Clone> {
     index: BTreeMap<T, usize>,
@@ -107,7 +107,7 @@
 }
 
 impl Category {
-    /// What no product can be without; a complaint names the field.
+    /// Checks the fields that every product needs; an error names the field.
     pub fn check(&self) -> Result<(), Complaint> {
         if self.name.is_empty() || self.name.contains('/') {
             return Err(format!("name: {:?} is no part of a path", self.name));
@@ -143,7 +143,7 @@
     pub routes_apart: Vec<bool>,
     #[serde(default)]
     pub turned_away_price: f64,
-    /// What the first value of a load report means; there where answers have reports.
+    /// The meaning of the first value of a load report; set where answers have reports.
     #[serde(default)]
     pub report_x0: Option<String>,
 }
@@ -186,7 +186,7 @@
 #[serde(rename_all = "kebab-case")]
 pub struct Ceilings {
     pub max_attempts: usize,
-    /// Whether a call that is out may be given up; everywhere but where it is said not to be.
+    /// Whether an outstanding call may be cancelled; true unless the settings say otherwise.
     #[serde(default = "allowed")]
     pub cancel: bool,
     #[serde(default)]
@@ -201,7 +201,7 @@
 }
 
 impl BootInfo {
-    /// What the decisions read of it.
+    /// Converts to the settings of the decision logic.
     pub fn decode(&self) -> Settings {
         let info = self;
         let product = |category: &Category| Product {
