--- a/crates/sender/src/list.rs
+++ b/crates/sender/src/list.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints: what a source of it is, and the platform's discovery, which is asked for it or watched.
+//! The list of endpoints: its sources, and the client of the platform's discovery, which polls or watches it.
 
 use crate::clock::{Clock, duration};
 use crate::config::{InForce, Site};
@@ -24,7 +24,7 @@
 
 const PATH: &str = "/discovery/hosts";
 
-/// A list as the discovery service writes it.
+/// A list in the discovery service's format.
 #[derive(Deserialize)]
 pub struct ListResponse {
     revision: u64,
@@ -51,10 +51,11 @@
     Gone,
 }
 
+/// An endpoint as the list gives it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ListedEndpoint {
     pub name: String,
-    /// None among those that are gone, which nobody calls any more.
+    /// Absent only for deleted endpoints, which are no longer called.
     pub address: Option<SocketAddr>,
     pub dest: u64,
     pub kind: KindId,
@@ -84,8 +85,8 @@
         })
     }
 
-    /// The entries that drain or are gone among those that are whole in what has come of an answer.
-    fn drained_in(answer: &[u8], site: &Site) -> Vec<ListedEndpoint> {
+    /// The stopping and deleted entries among the complete entries of a partial response.
+    fn stopping_in(answer: &[u8], site: &Site) -> Vec<ListedEndpoint> {
         let mut found = Vec::new();
         let mut rest = answer;
         while let Some(start) = rest.iter().position(|byte| *byte == b'{') {
@@ -96,7 +97,7 @@
                     rest = &rest[members.byte_offset()..];
                     found.extend(ListedEndpoint::of(member, site).ok());
                 }
-                // The object around all entries, or one that is not whole.
+                // The object that encloses all entries, or an incomplete entry.
                 _ => rest = &rest[1..],
             }
         }
@@ -105,6 +106,7 @@
     }
 }
 
+/// A whole list of endpoints, or the changes since an earlier one.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
     pub revision: u64,
@@ -113,28 +115,29 @@
 }
 
 impl EndpointList {
-    pub fn of(page: ListResponse, site: &Site, limits: &Limits) -> Result<EndpointList, Complaint> {
-        if page.members.len() > limits.endpoints {
-            return Err(format!("members: {} are more than are looked after", page.members.len()));
+    /// Resolves the names of kinds and zones in a response.
+    pub fn of(response: ListResponse, site: &Site, limits: &Limits) -> Result<EndpointList, Complaint> {
+        if response.members.len() > limits.endpoints {
+            return Err(format!("members: {} are more than are looked after", response.members.len()));
         }
         let listed = |(at, member): (usize, Member)| {
             ListedEndpoint::of(member, site).map_err(|e| format!("members[{at}].{e}"))
         };
         Ok(EndpointList {
-            revision: page.revision,
-            complete: page.complete,
-            members: page.members.into_iter().enumerate().map(listed).collect::<Result<_, _>>()?,
+            revision: response.revision,
+            complete: response.complete,
+            members: response.members.into_iter().enumerate().map(listed).collect::<Result<_, _>>()?,
         })
     }
 }
 
-/// Where a list of endpoints comes from. An actor of its own: it tells what it knows unasked or when asked, as it is made,
-/// and ends when nobody can ask any more.
+/// A source of the endpoint list, run as an actor. It publishes lists on its own or on request, and ends when the request
+/// channel is closed.
 pub trait ListSource: Send {
     fn run(self: Box<Self>, asks: Receiver<ListRequest>, list_sink: ListSink);
 }
 
-/// The way from a source to the decisions.
+/// Where a source publishes to: the decision loop and the counters.
 #[derive(Clone)]
 pub struct ListSink {
     decider: Mailbox,
@@ -142,29 +145,30 @@
 }
 
 impl ListSink {
+    /// A sink that sends to this mailbox.
     pub fn new(decider: Mailbox, counters: Arc<Counters>) -> ListSink {
         ListSink { decider, counters }
     }
 
-    /// A question was not answered, and is asked again unbidden.
-    fn missed(&self) {
+    /// Counts a failed query, which the source repeats on its own.
+    fn count_failure(&self) {
         self.counters.bad_lists.add(1);
     }
 
-    /// Endpoints that drain or are gone, by an answer that is not whole, or came to a watch that is over.
-    fn drained(&self, members: Vec<ListedEndpoint>) {
+    /// Reports stopping or deleted endpoints from a partial response, or from a response to a watch that was replaced.
+    fn report_stopping(&self, members: Vec<ListedEndpoint>) {
         if !members.is_empty() {
             _ = self.decider.send(Message::Drained(members));
         }
     }
 
-    /// Until when the list in force may be acted on, and as of when it is whole.
-    fn lease(&self, lease: &ListLease, now: Moment) {
+    /// Reports until when the list in force is valid and as of when it is complete.
+    fn publish_lease(&self, lease: &ListLease, now: Moment) {
         let (until, as_of, failed) = (lease.valid_until(now), lease.as_of(), lease.has_failed());
         _ = self.decider.send(Message::ListLease { until, as_of, failed });
     }
 
-    /// What the list says now; none where asking failed, and then the one in force stays.
+    /// Publishes a list, or `None` if the query failed; then the list in force stays.
     pub fn publish(&self, listing: Option<EndpointList>) {
         match &listing {
             Some(_) => self.counters.lists.add(1),
@@ -174,37 +178,41 @@
     }
 }
 
+/// A request to a list source.
 #[derive(Clone, Debug)]
 pub enum ListRequest {
+    /// Start or stop watching.
     Watch(bool),
+    /// Query the list once.
     Read,
-    /// Discovery may be elsewhere now: what runs is over, and the next list has to be a whole one.
+    /// Discovery may have moved: end the running watch and start over with a whole list.
     Renew,
 }
 
-/// What the actor and its watcher share.
+/// State shared by the actor and its watch thread.
 struct DiscoveryClient {
     platform: Arc<Platform>,
     site: Arc<InForce>,
     limits: Arc<Limits>,
     list_sink: ListSink,
-    running: Mutex<Running>,
+    running: Mutex<WatchState>,
     schedule: Mutex<PollSchedule>,
     clock: Clock,
     lease: Mutex<ListLease>,
 }
 
-/// What one watch leaves to the next, or must not: behind one lock, so that no watch meets half of a change.
-struct Running {
-    /// The watch that runs, and its connection.
+/// State passed from one watch to the next. One lock guards it, so that no watch sees a partial change.
+struct WatchState {
+    /// The number of the running watch, and its connection.
     number: u64,
     stream: Option<Arc<TcpStream>>,
-    /// What was told last, and by whom: another discovery counts otherwise. None where nothing that is known goes on.
+    /// The last published revision and the discovery it came from: each discovery numbers revisions on its own. `None` if the
+    /// next list has to be a whole one.
     revision: Option<(SocketAddr, u64)>,
 }
 
-impl Running {
-    /// The watch that runs, if any, is over; what it still reads is nobody's.
+impl WatchState {
+    /// Ends the running watch, if any, and returns the number of the next one. What the old one still reads is discarded.
     fn replace(&mut self) -> u64 {
         self.number += 1;
         if let Some(stream) = self.stream.take() {
@@ -213,9 +221,9 @@
         self.number
     }
 
-    /// Whether this watch still runs, which has no connection now that anybody need shut. Of one that was replaced the
-    /// connection is its successor's.
-    fn rests(&mut self, number: u64) -> bool {
+    /// Marks this watch as idle, without a connection to shut down, and returns whether it is still the running one. If it was
+    /// replaced, the stored connection belongs to its successor and is left alone.
+    fn mark_idle(&mut self, number: u64) -> bool {
         let runs = self.number == number;
         if runs {
             self.stream = None;
@@ -224,49 +232,50 @@
     }
 }
 
+/// The platform's discovery as a source of the list.
 pub struct DiscoverySource {
     pub platform: Arc<Platform>,
     pub site: Arc<InForce>,
     pub limits: Arc<Limits>,
-    /// Of the list that is known; none where discovery may be another one now.
+    /// Revision of the known list; `None` if discovery may be a different one now.
     pub revision: Option<u64>,
     pub clock: Clock,
-    /// As of when the list that is known is whole, and whether the process before has asked in vain since.
+    /// As of when the known list is complete, and whether a query of the previous process has failed since.
     pub as_of: Moment,
     pub query_failed: bool,
 }
 
 impl ListSource for DiscoverySource {
-    /// Works through what is asked until nobody can ask any more.
+    /// Serves requests until the channel is closed.
     fn run(self: Box<Self>, asks: Receiver<ListRequest>, list_sink: ListSink) {
         let DiscoverySource { platform, site, limits, revision, clock, as_of, query_failed } = *self;
-        let unasked = !site.get().info.decode().must_subscribe;
+        let watch_at_start = !site.get().info.decode().must_subscribe;
         let revision = revision.map(|revision| (platform.address(), revision));
-        let running = Mutex::new(Running { number: 0, stream: None, revision });
+        let running = Mutex::new(WatchState { number: 0, stream: None, revision });
         let mut poll_schedule = schedule(&site.get()).0;
         let age = duration(clock.now().since(as_of));
         let now = Instant::now();
-        now.checked_sub(age).into_iter().for_each(|asked| poll_schedule.resumes(now, asked));
+        now.checked_sub(age).into_iter().for_each(|asked| poll_schedule.resume_from(now, asked));
         let settings = lease_settings(&site.get(), &poll_schedule);
         let lease = ListLease::new(settings, clock.now(), as_of, query_failed);
         let (schedule, lease) = (Mutex::new(poll_schedule), Mutex::new(lease));
-        let desk = DiscoveryClient { platform, site, limits, list_sink, running, schedule, clock, lease };
-        let desk = Arc::new(desk);
-        desk.leases(|_, _| {});
-        if unasked {
-            desk.watch(true);
+        let client = DiscoveryClient { platform, site, limits, list_sink, running, schedule, clock, lease };
+        let client = Arc::new(client);
+        client.update_lease(|_, _| {});
+        if watch_at_start {
+            client.watch(true);
         }
         for ask in asks {
             match ask {
-                ListRequest::Watch(on) => desk.watch(on),
+                ListRequest::Watch(on) => client.watch(on),
                 ListRequest::Renew => {
-                    desk.renew();
-                    desk.watch_anew();
+                    client.reload_settings();
+                    client.restart_watch();
                 }
-                ListRequest::Read => desk.read_once(),
+                ListRequest::Read => client.read_once(),
             }
         }
-        desk.watch(false);
+        client.watch(false);
     }
 }
 
@@ -281,43 +290,43 @@
     LeaseSettings { subscription, max_poll_interval: settings.must_ask_in, drain_grace }
 }
 
-/// What a failed question says of discovery, as far as the age of the list goes.
-fn failure(reply: Reply) -> QueryFailure {
+/// Maps the outcome of a failed query to what it means for the list's lease.
+fn query_failure(reply: Reply) -> QueryFailure {
     match reply {
         Reply::Unreachable => QueryFailure::Unreachable,
         Reply::Silent => QueryFailure::Silent,
-        Reply::Told | Reply::TurnedAway | Reply::Broken => QueryFailure::Refused,
+        Reply::Listed | Reply::TurnedAway | Reply::Broken => QueryFailure::Refused,
     }
 }
 
-/// When a sender of this site asks, from now on, and within which time it has to.
+/// The poll schedule of a sender of this site, and the longest allowed interval between queries.
 fn schedule(site: &Site) -> (PollSchedule, Duration) {
     let (term, info) = (duration(site.info.decode().must_ask_in), &site.info);
     (PollSchedule::new(Instant::now(), info.ordinal, info.group_size, term), term)
 }
 
 impl DiscoveryClient {
-    /// Under the lock on what runs: a watch that is replaced meanwhile has told before, or tells no more.
-    fn tell(&self, running: &mut Running, address: SocketAddr, listing: EndpointList) {
+    /// Publishes under the lock on the running watch, so that a replaced watch has either published before or not at all.
+    fn publish(&self, running: &mut WatchState, address: SocketAddr, listing: EndpointList) {
         running.revision = Some((address, listing.revision));
         self.list_sink.publish(Some(listing));
     }
 
-    /// Takes note of something about the list's age, and tells until when the list is good.
-    fn leases(&self, note: impl FnOnce(&mut ListLease, Moment)) {
+    /// Updates the lease and reports until when the list is valid.
+    fn update_lease(&self, note: impl FnOnce(&mut ListLease, Moment)) {
         let mut lease = self.lease.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.clock.now();
         note(&mut lease, now);
-        self.list_sink.lease(&lease, now);
+        self.list_sink.publish_lease(&lease, now);
     }
 
-    /// One question outside of the watch.
+    /// Queries the list once, independently of the watch.
     fn read_once(&self) {
         let asked = Instant::now();
-        match self.ask(0, None) {
+        match self.query(0, None) {
             Ok((address, listing)) => {
-                self.tell(&mut self.running(), address, listing);
-                self.leases(|lease, _| lease.record_answer(self.clock.moment(asked)));
+                self.publish(&mut self.watch_state(), address, listing);
+                self.update_lease(|lease, _| lease.record_answer(self.clock.moment(asked)));
             }
             Err((_, e)) => {
                 log!("reading the list failed: {e}");
@@ -326,104 +335,104 @@
         }
     }
 
-    /// By the settings in force.
-    fn renew(&self) {
+    /// Adopts the settings in force for the lease and the schedule.
+    fn reload_settings(&self) {
         let (fresh, term) = schedule(&self.site.get());
         let settings = lease_settings(&self.site.get(), &fresh);
-        self.leases(|lease, now| {
+        self.update_lease(|lease, now| {
             lease.update_settings(settings);
             lease.record_source_change(now);
         });
         let mut schedule = self.schedule();
-        if !schedule.goes_round_with(&fresh) {
+        if !schedule.same_turns_as(&fresh) {
             *schedule = fresh;
         }
-        schedule.renewed(Instant::now(), term);
+        schedule.restart_soon(Instant::now(), term);
     }
 
     fn schedule(&self) -> std::sync::MutexGuard<'_, PollSchedule> {
         self.schedule.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn running(&self) -> std::sync::MutexGuard<'_, Running> {
+    fn watch_state(&self) -> std::sync::MutexGuard<'_, WatchState> {
         self.running.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn watch(self: &Arc<DiscoveryClient>, on: bool) {
-        let number = self.running().replace();
+        let number = self.watch_state().replace();
         if on {
-            self.begin(number);
+            self.spawn_watch(number);
         }
     }
 
-    /// Begins with the whole list.
-    fn watch_anew(self: &Arc<DiscoveryClient>) {
-        let mut running = self.running();
+    /// Starts a new watch with a query for the whole list.
+    fn restart_watch(self: &Arc<DiscoveryClient>) {
+        let mut running = self.watch_state();
         running.revision = None;
         let number = running.replace();
         drop(running);
-        self.begin(number);
+        self.spawn_watch(number);
     }
 
-    fn begin(self: &Arc<DiscoveryClient>, number: u64) {
-        let desk = Arc::clone(self);
-        if threads::spawn("watch", self.limits.stack, move || desk.keep_watch(number)).is_err() {
+    fn spawn_watch(self: &Arc<DiscoveryClient>, number: u64) {
+        let client = Arc::clone(self);
+        if threads::spawn("watch", self.limits.stack, move || client.watch_loop(number)).is_err() {
             log!("no thread for the watch on the list");
             self.list_sink.publish(None);
         }
     }
 
-    fn keep_watch(&self, number: u64) {
-        // What an agent has counts from the first moment on, so it is asked for that at once.
-        let mut probes = !self.site.get().info.decode().must_subscribe;
+    fn watch_loop(&self, number: u64) {
+        // An agent's list applies from the start, so the first query asks for it with a short hold.
+        let mut short_hold = !self.site.get().info.decode().must_subscribe;
         loop {
-            // Nothing is held while a turn is waited for, not even a connection.
+            // While waiting for the next turn, no lock and no connection is held.
             let schedule = self.schedule().clone();
             let (wait, watches) = (schedule.wait(Instant::now()), schedule.watches());
             if !wait.is_zero() {
-                if !self.running().rests(number) {
+                if !self.watch_state().mark_idle(number) {
                     return;
                 }
                 thread::sleep(wait);
-                if self.running().number != number {
+                if self.watch_state().number != number {
                     return;
                 }
             }
             let since = Instant::now();
-            self.schedule().asks(since);
-            // After a failure it is time to hear something, be it that nothing has changed.
-            let hold = if probes { self.limits.watch_probe } else { self.limits.watch_hold };
-            let asked = self.ask(number, watches.then_some(hold));
-            probes = asked.is_err();
-            // A watch that was ended or replaced has nothing more to say. It is not replaced while it speaks:
-            // its revision would pass for one of the next watch's discovery.
-            let mut running = self.running();
-            if !running.rests(number) {
+            self.schedule().record_query(since);
+            // After a failure a short hold confirms the list soon, even if nothing has changed.
+            let hold = if short_hold { self.limits.watch_probe } else { self.limits.watch_hold };
+            let asked = self.query(number, watches.then_some(hold));
+            short_hold = asked.is_err();
+            // A watch that was ended or replaced publishes nothing more. The lock keeps it from being replaced while it
+            // publishes: its revision would be taken for one of the next watch's discovery.
+            let mut running = self.watch_state();
+            if !running.mark_idle(number) {
                 drop(running);
-                // But that an endpoint drains was written to this sender, and no discovery says otherwise.
+                // Stopping endpoints are still reported: this sender was told of them, and no discovery revokes that.
                 let members = asked.map_or_else(|_| Vec::new(), |(_, listing)| listing.members);
                 let drains = |member: &ListedEndpoint| member.condition != Condition::Running;
-                return self.list_sink.drained(members.into_iter().filter(drains).collect());
+                return self.list_sink.report_stopping(members.into_iter().filter(drains).collect());
             }
-            let reply = asked.as_ref().map_or_else(|(reply, _)| *reply, |_| Reply::Told);
-            self.schedule().answered(Instant::now(), reply);
+            let reply = asked.as_ref().map_or_else(|(reply, _)| *reply, |_| Reply::Listed);
+            self.schedule().record_reply(Instant::now(), reply);
             match asked {
                 Ok((address, listing)) => {
-                    self.log_told(&listing, since);
+                    self.log_list(&listing, since);
                     self.list_sink.counters.list.holds(listing.revision, since);
-                    self.tell(&mut running, address, listing);
-                    // A watch that ran its whole time would have been answered sooner had something changed.
+                    self.publish(&mut running, address, listing);
+                    // A watch that ran its full hold time saw no change: it would have been answered earlier.
                     let as_of = if watches && since.elapsed() >= hold { since + hold } else { since };
-                    self.leases(|lease, _| lease.record_answer(self.clock.moment(as_of)));
+                    self.update_lease(|lease, _| lease.record_answer(self.clock.moment(as_of)));
                 }
                 Err((reply, e)) => {
                     drop(running);
                     self.log_failure(reply, &e, since);
-                    self.leases(|lease, now| lease.record_failure(now, failure(reply)));
-                    // It is asked again unbidden, and the list in force stays.
-                    self.list_sink.missed();
+                    self.update_lease(|lease, now| lease.record_failure(now, query_failure(reply)));
+                    // The query is repeated on its own; the list in force stays.
+                    self.list_sink.count_failure();
                     if watches {
-                        // Where it was long in coming what changed meanwhile counts as told by now.
+                        // Time already spent counts towards the pause: changes made meanwhile count as published by now.
                         thread::sleep(self.limits.watch_pause.saturating_sub(since.elapsed()));
                     }
                 }
@@ -431,7 +440,7 @@
         }
     }
 
-    fn log_told(&self, listing: &EndpointList, asked: Instant) {
+    fn log_list(&self, listing: &EndpointList, asked: Instant) {
         log_state!(
             revision = listing.revision, complete = listing.complete, entries = listing.members.len(),
             after_ms = asked.elapsed().as_millis();
@@ -439,7 +448,7 @@
         );
     }
 
-    /// With which list the sender goes on, and when it asks again.
+    /// Logs the failure, the list that stays in force, and when the next query is due.
     fn log_failure(&self, reply: Reply, complaint: &str, asked: Instant) {
         let held = self.list_sink.counters.list.get();
         log!(
@@ -451,34 +460,35 @@
         );
     }
 
-    /// One question: for changes with a hold, else, or where nothing known goes on, for the whole list. Where there is none
-    /// the schedule is told why.
-    fn ask(
+    /// Sends one query and records it in the account: for changes if `hold` is given and a revision is known, else for the
+    /// whole list. A failure carries the kind of reply for the schedule.
+    fn query(
         &self,
         watch: u64,
         hold: Option<Duration>,
     ) -> Result<(SocketAddr, EndpointList), (Reply, Complaint)> {
         let from = Instant::now();
-        let listing = self.question(watch, hold);
+        let listing = self.send_query(watch, hold);
         let told = listing.as_ref().map_or(-1, |(_, listing)| listing.members.len() as i64);
         log_account!(ms = from.elapsed().as_millis(), told; "asked");
         listing
     }
 
-    /// On a connection of its own: an answer doesn't name its question, and a second copy of an earlier one would confirm a list
-    /// that may have changed since.
-    fn question(
+    /// Sends one query on a connection of its own: responses do not identify their query, and a duplicate of an earlier one
+    /// would confirm a list that may have changed since.
+    fn send_query(
         &self,
         watch: u64,
         hold: Option<Duration>,
     ) -> Result<(SocketAddr, EndpointList), (Reply, Complaint)> {
         let limits = &*self.limits;
         let address = self.platform.address();
-        // A reload moves the address before the watch hears of it.
-        let known = self.running().revision.filter(|(by, _)| *by == address).map(|(_, revision)| revision);
+        // A reload changes the address before the watch is told of it.
+        let known =
+            self.watch_state().revision.filter(|(by, _)| *by == address).map(|(_, revision)| revision);
         let hold = hold.zip(known);
-        // A call that is given up goes on costing discovery until it has had its turn there.
-        let patience =
+        // A query that is abandoned early still costs discovery its full processing, so it is waited for.
+        let time_limit =
             hold.map_or(limits.list_time, |(hold, _)| limits.list_time.max(hold + limits.watch_slack));
         let asked = Instant::now();
         let mut open = connect(address, limits).map_err(|e| match e.kind() {
@@ -487,14 +497,14 @@
             _ => (Reply::Broken, e.to_string()),
         })?;
         if watch > 0 {
-            let mut running = self.running();
+            let mut running = self.watch_state();
             if running.number != watch {
                 return Err((Reply::Broken, "it is over".into()));
             }
             running.stream = Some(Arc::clone(open.stream()));
         }
-        // Discovery holds a question as long as ever, however late its connection was.
-        let by = if hold.is_some() { Instant::now() + patience } else { asked + patience };
+        // Discovery counts the hold time from the request, however long the connection took.
+        let by = if hold.is_some() { Instant::now() + time_limit } else { asked + time_limit };
         let line = match hold {
             Some((hold, from)) => format!("GET {PATH}?from={from}&hold_ms={}", hold.as_millis()),
             None => format!("GET {PATH}"),
@@ -514,16 +524,16 @@
             return Err((Reply::TurnedAway, format!("answered with {}", head.status)));
         }
         let listing = self.read(&body, hold.is_none()).map_err(|e| {
-            self.list_sink.drained(ListedEndpoint::drained_in(&body, &self.site.get()));
+            self.list_sink.report_stopping(ListedEndpoint::stopping_in(&body, &self.site.get()));
             (Reply::Broken, e)
         })?;
         Ok((address, listing))
     }
 
-    /// The whole body of an answer. What a part of it says of endpoints that drain is heeded as it comes: it was written, whether or
-    /// not the rest follows.
+    /// Reads the whole body of a response. Stopping endpoints in the part received so far are reported at once: they are valid
+    /// whether or not the rest arrives.
     fn body(&self, open: &mut Link, head: &AnswerHead, by: Instant) -> Result<Vec<u8>, Fault> {
-        let mut looked_at = 0;
+        let mut scanned = 0;
         loop {
             let look = Instant::now() + self.limits.list_look;
             let fault = match open.body(head, self.limits.list, by.min(look)) {
@@ -531,9 +541,9 @@
                 Err(fault) => fault,
             };
             let received = open.received();
-            if head.status == 200 && received.len() > looked_at {
-                looked_at = received.len();
-                self.list_sink.drained(ListedEndpoint::drained_in(received, &self.site.get()));
+            if head.status == 200 && received.len() > scanned {
+                scanned = received.len();
+                self.list_sink.report_stopping(ListedEndpoint::stopping_in(received, &self.site.get()));
             }
             if !matches!(fault, Fault::Late) || look >= by {
                 return Err(fault);
@@ -551,7 +561,7 @@
     }
 }
 
-/// A first packet that is lost comes again only after a second, so a new connection is tried after a part of that.
+/// Connects to discovery. A lost SYN is retransmitted only after a second, so a second connection is tried before that.
 fn connect(address: SocketAddr, limits: &Limits) -> io::Result<Link> {
     match Link::open(address, limits.connect_list_first) {
         Err(e) if e.kind() == ErrorKind::TimedOut => Link::open(address, limits.connect_list),
--- a/crates/sender/src/list/tests.rs
+++ b/crates/sender/src/list/tests.rs
@@ -2,7 +2,8 @@
 use std::io::Read;
 use std::net::TcpListener;
 
-/// A watch that was replaced while it spoke, or waited, comes to rest after its successor has a connection.
+/// A watch that was replaced while it published or waited becomes idle only after its successor has a connection. It must not
+/// clear the successor's connection.
 #[test]
 fn a_watch_that_was_replaced_leaves_its_successors_connection_alone() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -12,18 +13,18 @@
         seen.set_read_timeout(Some(Duration::from_secs(20))).expect("a time is set");
         seen
     };
-    let mut running = Running { number: 0, stream: None, revision: None };
+    let mut running = WatchState { number: 0, stream: None, revision: None };
     let first = running.replace();
     running.stream = Some(open());
     let mut seen = accepted();
     let second = running.replace();
     assert!(matches!(seen.read(&mut [0]), Ok(0)), "the first one's connection is shut");
-    // Its watch has it too, and reads on it.
+    // The watch thread holds the connection too and reads from it.
     let kept = open();
     running.stream = Some(Arc::clone(&kept));
     let mut seen = accepted();
-    assert!(!running.rests(first));
+    assert!(!running.mark_idle(first));
     let third = running.replace();
     assert!(matches!(seen.read(&mut [0]), Ok(0)), "so is the second one's, whatever the first did");
-    assert!(!running.rests(second) && running.rests(third));
+    assert!(!running.mark_idle(second) && running.mark_idle(third));
 }
--- a/crates/sender/src/poll_schedule/tests.rs
+++ b/crates/sender/src/poll_schedule/tests.rs
@@ -55,14 +55,14 @@
             return (at + 0.07, Reply::TurnedAway);
         }
         self.free = begins + 1.0 / self.a_second;
-        if begins - at > PATIENCE { (at + PATIENCE, Reply::TurnedAway) } else { (self.free, Reply::Told) }
+        if begins - at > PATIENCE { (at + PATIENCE, Reply::TurnedAway) } else { (self.free, Reply::Listed) }
     }
 }
 
 /// Questions a second that settings ask of a fleet that takes turns.
 fn wanted(senders: usize) -> f64 {
-    let round = APART.as_secs_f64() * senders as f64;
-    senders as f64 / round.min(TERM.as_secs_f64() * PART_OF_TERM)
+    let round = QUERY_SPACING.as_secs_f64() * senders as f64;
+    senders as f64 / round.min(TERM.as_secs_f64() * ROUND_SHARE_OF_TERM)
 }
 
 struct Played {
@@ -118,14 +118,14 @@
         }
         asked.push(now);
         let (end, reply) = discovery.call(now);
-        fleet[number].asks(at(now));
-        fleet[number].answered(at(end), reply);
-        turned_away.extend((reply != Reply::Told).then_some(now));
+        fleet[number].record_query(at(now));
+        fleet[number].record_reply(at(end), reply);
+        turned_away.extend((reply != Reply::Listed).then_some(now));
         match reply {
-            Reply::Told if now >= discovery.down.end => {
+            Reply::Listed if now >= discovery.down.end => {
                 told[number] = told[number].min(end - discovery.down.end);
             }
-            _ if now < discovery.down.end => failed[number] = reply != Reply::Told,
+            _ if now < discovery.down.end => failed[number] = reply != Reply::Listed,
             _ => {}
         }
         due.insert((micros(end + fleet[number].wait(at(end)).as_secs_f64()) + 1, number));
@@ -217,7 +217,7 @@
                 let mut schedule = PollSchedule::new(now, number, senders, TERM);
                 // The last answers were as far apart as the turns are.
                 let round = wanted_round(senders);
-                schedule.resumes(now, now - age - round.mul_f64(number as f64 / senders as f64));
+                schedule.resume_from(now, now - age - round.mul_f64(number as f64 / senders as f64));
                 schedule.wait(now)
             };
             let mut asked: Vec<Duration> = (0..senders).map(asks).collect();
@@ -235,7 +235,7 @@
 }
 
 fn wanted_round(senders: usize) -> Duration {
-    (APART * senders as u32).min(TERM.mul_f64(PART_OF_TERM))
+    (QUERY_SPACING * senders as u32).min(TERM.mul_f64(ROUND_SHARE_OF_TERM))
 }
 
 /// The most questions that a fleet asks in any second of a minute, where every one ends `after` so long.
@@ -247,9 +247,9 @@
         while now < start + Duration::from_secs(60) {
             now += schedule.wait(now);
             asked.push(now - start);
-            schedule.asks(now);
+            schedule.record_query(now);
             now += after;
-            schedule.answered(now, reply);
+            schedule.record_reply(now, reply);
         }
     }
     asked.sort();
@@ -264,7 +264,7 @@
         // Answered at once, as while the list changes all the time, and turned away after a wait: the two storms. Turned
         // away at once it has to ask again sooner, and by that twice as often, but not more.
         for (after, reply, times) in [
-            (1, Reply::Told, 1.0),
+            (1, Reply::Listed, 1.0),
             (2000, Reply::TurnedAway, 1.0),
             (70, Reply::TurnedAway, 2.0),
             (1, Reply::Broken, 2.0),
@@ -287,12 +287,12 @@
             let mut schedule = PollSchedule::new(now, senders - 1, senders, TERM);
             now += schedule.wait(now);
             let (after, reply) = outage.reply();
-            for turn in 0..MOST_SILENT {
-                schedule.asks(now);
+            for turn in 0..MAX_TIMEOUTS {
+                schedule.record_query(now);
                 let ends = now + Duration::from_secs_f64(after);
-                schedule.answered(ends, reply);
+                schedule.record_reply(ends, reply);
                 let gap = ends + schedule.wait(ends) - now;
-                assert!(gap <= RETRY, "{senders} senders, {outage:?}, turn {turn}: {gap:?}");
+                assert!(gap <= MAX_RETRY_DELAY, "{senders} senders, {outage:?}, turn {turn}: {gap:?}");
                 now += gap;
             }
         }
@@ -310,8 +310,8 @@
                 let wait = schedule.wait(now);
                 assert!(wait < TERM, "{senders} senders: {wait:?} without a question");
                 now += wait;
-                schedule.asks(now);
-                schedule.answered(now, if turn % 10 < 2 { Reply::Told } else { Reply::Broken });
+                schedule.record_query(now);
+                schedule.record_reply(now, if turn % 10 < 2 { Reply::Listed } else { Reply::Broken });
             }
         }
     }
@@ -322,7 +322,7 @@
     let now = Instant::now();
     let mut schedule = PollSchedule::new(now, 1, 3, TERM);
     assert!(schedule.wait(now).is_zero());
-    schedule.asks(now);
+    schedule.record_query(now);
     assert!(schedule.watches() && schedule.wait(now).is_zero());
     assert!(!PollSchedule::new(now, 1, 100, TERM).watches());
 }
@@ -333,8 +333,8 @@
     let waits: Vec<Duration> = (0..100)
         .map(|number| {
             let mut schedule = PollSchedule::new(now, number, 100, TERM);
-            schedule.asks(now);
-            schedule.renewed(now, TERM);
+            schedule.record_query(now);
+            schedule.restart_soon(now, TERM);
             schedule.wait(now)
         })
         .collect();
--- a/crates/sender/src/text_journal.rs
+++ b/crates/sender/src/text_journal.rs
@@ -234,7 +234,7 @@
 /// The journal's contents while they are read.
 #[derive(Default)]
 struct RecoveredState {
-    owed: BTreeMap<usize, OutstandingText>,
+    outstanding: BTreeMap<usize, OutstandingText>,
     kept: BTreeMap<usize, AuxiliaryRecord>,
     /// Records with a valid checksum that this program cannot interpret.
     unreadable: u64,
@@ -253,16 +253,16 @@
             Entry::Open(payload) | Entry::Whole(payload) => {
                 let owed = decode(payload);
                 let known = owed.is_some();
-                owed.map(|owed| self.owed.insert(text, owed));
+                owed.map(|owed| self.outstanding.insert(text, owed));
                 known
             }
             Entry::Close => {
-                self.owed.remove(&text);
+                self.outstanding.remove(&text);
                 self.kept.remove(&text);
                 true
             }
             Entry::Note(tag, payload) => {
-                let noted = self.owed.get_mut(&text).and_then(|owed| apply_note(owed, tag, payload));
+                let noted = self.outstanding.get_mut(&text).and_then(|owed| apply_note(owed, tag, payload));
                 noted.is_some()
             }
         };
@@ -322,7 +322,7 @@
     let folder = Folder::open_used(&journal_folder(path))?;
     let mut state = RecoveredState::default();
     let (journal, recovered) = Journal::look(folder, usize::MAX, &mut |key, entry| state.apply(key, entry))?;
-    let RecoveredState { owed: outstanding, kept, unreadable } = state;
+    let RecoveredState { outstanding, kept, unreadable } = state;
     let auxiliary = kept.into_values().collect();
     Ok(JournalContents {
         recovered,
@@ -354,7 +354,8 @@
     let mut state = RecoveredState::default();
     let (mut journal, _) = Journal::open(folder, settings, 0, &mut |key, entry| state.apply(key, entry))?;
     let before = journal.used();
-    journal.compact(Duration::ZERO, &mut |key, into| write_image(&state.owed, &state.kept, key, into))?;
+    journal
+        .compact(Duration::ZERO, &mut |key, into| write_image(&state.outstanding, &state.kept, key, into))?;
     Ok((before, journal.used()))
 }
 
@@ -374,7 +375,7 @@
 /// The journal of a running sender.
 pub struct TextJournal<S: Store = Folder> {
     records: Journal<S>,
-    owed: BTreeMap<usize, OutstandingText>,
+    outstanding: BTreeMap<usize, OutstandingText>,
     kept: BTreeMap<usize, AuxiliaryRecord>,
     /// Bytes that the outstanding texts take, including what is reserved for their notes.
     bytes: u64,
@@ -419,7 +420,7 @@
         }
         let mut journal = TextJournal {
             records,
-            owed: state.owed,
+            outstanding: state.outstanding,
             kept: state.kept,
             bytes: 0,
             held: 0,
@@ -431,7 +432,7 @@
         };
         journal.log_recovery(&recovered);
         journal.apply_losses(&recovered, limits.submits);
-        for (text, owed) in &mut journal.owed {
+        for (text, owed) in &mut journal.outstanding {
             owed.bytes = encoded_length(owed) + journal.reserve;
             journal.bytes += owed.bytes;
             journal.held += usize::from(owed.report.is_none());
@@ -468,7 +469,7 @@
     fn apply_losses(&mut self, recovered: &Recovered, most: usize) {
         let lost = recovered.most_lost(MIN_SUBMIT_NOTE).map_or(most, |lost| lost.min(most as u64) as usize);
         for key in &recovered.suspects {
-            let Some(owed) = self.owed.get_mut(&(key.0 as usize)) else { continue };
+            let Some(owed) = self.outstanding.get_mut(&(key.0 as usize)) else { continue };
             if lost == 0 {
                 continue;
             }
@@ -484,7 +485,7 @@
     /// in doubt are older than they seem and count as arbitrarily old. A clock set forward looks like a long downtime; one set
     /// back by less than the downtime cannot be detected.
     fn correct_clock_step(&mut self, now: Moment) -> io::Result<()> {
-        let newest = self.owed.values().map(OutstandingText::latest_ms).fold(f64::MIN, f64::max);
+        let newest = self.outstanding.values().map(OutstandingText::latest_ms).fold(f64::MIN, f64::max);
         let ahead = newest - now.as_millis();
         if ahead <= CLOCK_SLACK_MS {
             return Ok(());
@@ -492,9 +493,9 @@
         log!(
             "the clock was set back by {ahead:.0} ms or more since the last life; what is owed is moved by that"
         );
-        self.owed.values_mut().for_each(|owed| owed.shift_times(-ahead));
+        self.outstanding.values_mut().for_each(|owed| owed.shift_times(-ahead));
         // Rewritten at once, so that the next start does not apply the correction again.
-        let (owed, kept) = (&self.owed, &self.kept);
+        let (owed, kept) = (&self.outstanding, &self.kept);
         self.records.compact(self.began.elapsed(), &mut |key, into| write_image(owed, kept, key, into))?;
         Ok(())
     }
@@ -503,11 +504,11 @@
     /// skipped.
     fn import(&mut self, imported: Vec<ImportedText>, now: Moment) -> io::Result<usize> {
         let known: BTreeMap<String, usize> =
-            self.owed.iter().map(|(text, owed)| (owed.info.id.clone(), *text)).collect();
+            self.outstanding.iter().map(|(text, owed)| (owed.info.id.clone(), *text)).collect();
         let mut count = 0;
         for ImportedText { info, body, report, sent } in imported {
             if let Some(text) = known.get(&info.id) {
-                if self.owed[text].sent.submits >= sent.submits {
+                if self.outstanding[text].sent.submits >= sent.submits {
                     continue;
                 }
                 // A rollback to the previous format has recorded more submits of this text since.
@@ -530,7 +531,7 @@
 
     /// All outstanding texts by number.
     pub fn outstanding(&self) -> &BTreeMap<usize, OutstandingText> {
-        &self.owed
+        &self.outstanding
     }
 
     /// The number of texts without a final status.
@@ -544,7 +545,7 @@
     }
 
     fn remove(&mut self, text: usize) {
-        if let Some(owed) = self.owed.remove(&text) {
+        if let Some(owed) = self.outstanding.remove(&text) {
             self.held -= usize::from(owed.report.is_none());
             self.bytes -= owed.bytes;
         }
@@ -553,13 +554,13 @@
     fn add(&mut self, mut owed: OutstandingText) -> Option<usize> {
         let payload = encode(&owed, Vec::new());
         owed.bytes = payload.len() as u64 + self.reserve;
-        if self.bytes + owed.bytes > self.max_text_bytes || self.owed.len() >= self.max_outstanding {
+        if self.bytes + owed.bytes > self.max_text_bytes || self.outstanding.len() >= self.max_outstanding {
             return None;
         }
         let text = self.records.begin(&payload, self.reserve).ok()?.0 as usize;
         self.bytes += owed.bytes;
         self.held += usize::from(owed.report.is_none());
-        self.owed.insert(text, owed);
+        self.outstanding.insert(text, owed);
         Some(text)
     }
 
@@ -583,7 +584,7 @@
 
     /// Records the next submit of a text.
     pub fn record_submit(&mut self, text: usize, at: Moment, zone: &str) {
-        let Some(owed) = self.owed.get_mut(&text) else { return };
+        let Some(owed) = self.outstanding.get_mut(&text) else { return };
         let submit = owed.sent.submits;
         owed.sent.submitted(submit, at.as_millis(), zone.to_owned());
         self.note(text, SUBMITTED, &(submit, at.as_millis(), zone));
@@ -591,7 +592,7 @@
 
     /// Records that a submit never ran, so that it is no longer in doubt.
     pub fn record_never_ran(&mut self, text: usize, submit: usize) {
-        if let Some(owed) = self.owed.get_mut(&text) {
+        if let Some(owed) = self.outstanding.get_mut(&text) {
             owed.sent.never_ran(submit);
             self.note(text, NEVER_RAN, &submit);
         }
@@ -600,7 +601,7 @@
     /// Records that a text ended. It is closed unless a report of it is still to be sent.
     pub fn record_end(&mut self, text: usize, report: Option<Report>) {
         let Some(report) = report else { return self.record_reported(text) };
-        let Some(owed) = self.owed.get_mut(&text) else { return };
+        let Some(owed) = self.outstanding.get_mut(&text) else { return };
         self.held -= usize::from(owed.report.replace(report).is_none());
         let freed = std::mem::take(&mut owed.body).len() as u64;
         owed.bytes -= freed;
@@ -620,7 +621,7 @@
     ///
     /// Nothing added since the last successful flush is guaranteed; the next flush writes it again.
     pub fn flush(&mut self) -> io::Result<()> {
-        let (owed, kept) = (&self.owed, &self.kept);
+        let (owed, kept) = (&self.outstanding, &self.kept);
         let step =
             self.records.commit(self.began.elapsed(), &mut |key, into| write_image(owed, kept, key, into))?;
         self.compactions += step.retired;
