--- a/crates/scale/src/roles/senders.rs
+++ b/crates/scale/src/roles/senders.rs
@@ -50,8 +50,8 @@
 
     fn measure(&self, size: f64, seed: u64, meter: &Meter) -> Result<Vec<Reading>, String> {
         let size = size as usize;
-        let (asked, asked_most) = questions(size, false, Reply::Told);
-        let (_, renewed_most) = questions(size, true, Reply::Told);
+        let (asked, asked_most) = questions(size, false, Reply::Listed);
+        let (_, renewed_most) = questions(size, true, Reply::Listed);
         let (_, broken_most) = questions(size, false, Reply::Broken);
         let mark = meter.mark();
         let fleet = Fleet::new(size, ListedRate::Exact, seed);
@@ -97,16 +97,16 @@
         let (mut turns, mut now) = (PollSchedule::new(start, number, senders, TERM), start);
         let end = start + Duration::from_secs(60);
         if renewed {
-            turns.asks(now);
-            turns.renewed(now, TERM);
+            turns.record_query(now);
+            turns.restart_soon(now, TERM);
         }
         while now < end {
             now += turns.wait(now);
             asked.push((now - start).as_millis() as u32);
-            turns.asks(now);
+            turns.record_query(now);
             // A question that is watched is held until something changes: one a second here.
             now += Duration::from_millis(if turns.watches() { 1000 } else { 1 });
-            turns.answered(now, reply);
+            turns.record_reply(now, reply);
         }
     }
     asked.sort_unstable();
