--- a/crates/sender/src/decider.rs
+++ b/crates/sender/src/decider.rs
@@ -25,7 +25,7 @@
 use indigomast::rules::Rules;
 use indigomast::time::{Moment, Span};
 use indigomast_admission::OverloadDetector;
-use indigomast_handover::{Incumbent, Seen, Step};
+use indigomast_handover::{Incumbent, Observation, Step};
 use indigomast_site::Names;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::ErrorKind;
@@ -255,12 +255,12 @@
                     Rules::successor(settings, seed, learnt),
                     EndpointTable::successor(endpoints, next_endpoint),
                     RequestIds::successor(ids),
-                    Names::of(dests),
+                    Names::from_list(dests),
                     OrderingKeys::successor(keys, next_key),
                 )
             }
             None => {
-                let none = Names::of(Vec::new());
+                let none = Names::from_list(Vec::new());
                 (
                     Rules::new(settings, seed),
                     EndpointTable::default(),
@@ -328,7 +328,7 @@
             if late > span(self.limits.stall) {
                 thread::sleep(self.limits.stall_pause);
             }
-            if self.overload.late(self.clock.now(), late) {
+            if self.overload.record_delay(self.clock.now(), late) {
                 self.counters.stalls.add(1);
             }
             batch.extend(messages.try_iter().take(self.limits.mailbox));
@@ -374,10 +374,13 @@
     fn step_handover(&mut self, messages: &Receiver<Message>) -> bool {
         let now = self.clock.now();
         let Some(Handover { watch, machine, intake, folder }) = &mut self.handover else { return false };
-        let asked = watch.successor_waits();
-        let heard = machine.is_leaving() && intake.all_heard();
-        let mut step = machine.step(now, Seen { asked, out: !self.in_flight.is_empty(), heard });
-        if step == Some(Step::Leave) {
+        let successor_waits = watch.successor_waits();
+        let clients_answered = machine.is_handing_over() && intake.all_heard();
+        let mut step = machine.step(
+            now,
+            Observation { successor_waits, calls_out: !self.in_flight.is_empty(), clients_answered },
+        );
+        if step == Some(Step::Exit) {
             let folder = folder.clone();
             messages.try_iter().for_each(|message| self.handle(message));
             // Messages that have just come in are decided on too, so that a retry time received last is not lost.
@@ -394,11 +397,11 @@
                 return true;
             };
             log!("another process can't take over: {e}");
-            step = self.handover.as_mut().map(|handover| handover.machine.cant_leave());
+            step = self.handover.as_mut().map(|handover| handover.machine.exit_failed());
         }
         let Some(Handover { intake, .. }) = &self.handover else { return false };
         match step {
-            Some(Step::Hold) => {
+            Some(Step::StopSubmitting) => {
                 log!("another process waits to take over");
                 intake.leaves(true);
                 self.set_pause_reasons(PauseReasons { handover: true, ..self.pause_reasons });
@@ -410,7 +413,7 @@
                 intake.leaves(false);
                 self.set_pause_reasons(PauseReasons { handover: false, ..self.pause_reasons });
             }
-            Some(Step::Leave) | None => {}
+            Some(Step::Exit) | None => {}
         }
         false
     }
@@ -715,14 +718,14 @@
                 return;
             }
         }
-        if !self.dests.knows(&info.dest) {
+        if !self.dests.contains(&info.dest) {
             _ = reply.try_send(Admission::UnknownDestination);
             return;
         }
         let now = self.clock.now();
         // A request that lay unread while this sender stalled was sent earlier than it was read, by up to the time that
         // clients wait for an answer.
-        info.until_ms -= self.overload.unread(now, span(self.limits.admission)).as_millis();
+        info.until_ms -= self.overload.max_unread_time(now, span(self.limits.admission)).as_millis();
         let left = Moment::from_millis(info.until_ms).since(now);
         if let Err(again) = self.overload.admit(now, left, span(came.elapsed())) {
             self.counters.turned_away_late.add(1);
@@ -772,7 +775,7 @@
                 .table
                 .find(&info.product)
                 .expect("product settings are kept as long as their texts"),
-            dest: DestId(self.dests.place(&info.dest)),
+            dest: DestId(self.dests.index_or_insert(&info.dest)),
             key: info.key.as_deref().and_then(|key| self.keys.find(key)),
             valid_until: Moment::from_millis(info.until_ms),
         }
@@ -848,7 +851,7 @@
                 }
                 None => {
                     let past = unfinished.past(|zone| {
-                        let known = self.site.zones.find(&zone.to_owned(), "zone");
+                        let known = self.site.zones.index_of(&zone.to_owned(), "zone");
                         ZoneId(known.unwrap_or(usize::MAX))
                     });
                     let accepted = self.accepted_text(text, info);
@@ -888,7 +891,7 @@
             }
             entries.push(Entry {
                 endpoint: at,
-                dest: DestId(self.dests.place(&member.dest)),
+                dest: DestId(self.dests.index_or_insert(&member.dest)),
                 kind: member.kind,
                 zone: member.zone,
                 units: member.units,
@@ -908,7 +911,7 @@
     fn deletion_entry(&mut self, endpoint: EndpointId) -> Option<Entry> {
         let entry = self.endpoints.get(endpoint)?;
         let (dest, kind, zone, units) = (entry.dest, entry.kind, entry.zone, entry.units);
-        let dest = DestId(self.dests.place(&dest));
+        let dest = DestId(self.dests.index_or_insert(&dest));
         Some(Entry { endpoint, dest, kind, zone, units, condition: Condition::Deleted })
     }
 
