--- a/src/rules.rs
+++ b/src/rules.rs
@@ -16,8 +16,8 @@
 const TICK_INTERVAL: Span = Span::millis(20);
 /// State of a route or an unlisted endpoint that has been idle for this long is dropped.
 const IDLE_STATE_TTL: Span = Span::millis(30_000);
-/// Time before the end of the validity period at which a text is ended and a submit times out. The first is
-/// longer than a tick interval, so that the answer still reaches the client in time.
+/// Time before the end of the validity period at which a text is ended, which is longer than a tick
+/// interval, and at which a submit times out.
 const ANSWER_MARGIN: Span = Span::millis(28);
 const TIMEOUT_MARGIN: Span = Span::millis(12);
 /// A referenced text is not sent again within this time of the end of its receiver's deduplication memory.
@@ -43,7 +43,8 @@
 const QUICK_FAILURE_PAUSE: Span = Span::millis(1_500);
 /// Assumed ratio of a sender's peak demand to its mean demand, where no rate is known.
 const PEAK_TO_MEAN: f64 = 2.0;
-/// The same ratio for a cold destination, and the calls a second that all senders together may make to it.
+/// The same ratio for a cold destination, and the calls a second from all senders that it is assumed to
+/// take at least.
 const COLD_PEAK_TO_MEAN: f64 = 1.5;
 const MIN_COLD_RATE: f64 = 4.0;
 /// Calls a second that a warm destination is assumed to take, where nothing else is known.
@@ -150,6 +151,7 @@
     /// Accepted by an earlier process. The client was promised an attempt, so it gets a call before it is
     /// given up.
     resumed: bool,
+    /// Where the text stands; set by `Rules::set_stage` only.
     stage: Stage,
 }
 
@@ -183,17 +185,19 @@
     rank: Option<Rank>,
     /// When the destination is next looked at, as one of its routes may be called then.
     recheck_at: Option<Moment>,
-    /// Set if an earlier process left texts here that no call was made for since: true unless each had only
-    /// one submit, which was still out when that process ended.
+    /// Set if an earlier process left texts here, until the routes to them have been treated as cold. True
+    /// if any of them was more than a single submit that was still out when that process ended.
     resumed_unclear: Option<bool>,
 }
 
-/// Order of the destinations that may send: fresh texts before retries, then the fewest calls out, then the
+/// Order in which destinations may send: fresh texts before retries, then the fewest calls out, then the
 /// newest text.
 type Rank = (bool, usize, Reverse<TextId>, DestId);
+/// The rank of a destination and the endpoint to call, or when one may be called, if that is known.
 type PickResult = Result<(Rank, EndpointId), Option<Moment>>;
 
 impl Hold {
+    /// Factor by which the count of arrivals has decayed since it was last updated.
     fn decay(&self, now: Moment) -> f64 {
         (-now.since(self.arrivals_at).as_secs() / DEMAND_AVERAGING_SECS).exp()
     }
@@ -597,7 +601,7 @@
         }
         let mut cancelled = Vec::new();
         for dest in &self.changed_dests {
-            let hold = self.holds.get_mut(dest).expect("what is touched has a hold");
+            let hold = self.holds.get_mut(dest).expect("a changed destination has a hold");
             for id in hold.endpoints.extract_if(.., |id| !self.endpoints[id].serves()) {
                 self.timers.insert((self.now + IDLE_STATE_TTL, Timer::DropUnlisted(id)));
                 cancelled.extend(&self.endpoints[&id].calls);
@@ -647,7 +651,7 @@
         } else {
             let next = self.now + self.turn_delay(self.route_of(id));
             let back = Health { state: HealthState::Recovering, since: self.now, next, ..Health::default() };
-            self.endpoints.get_mut(&id).expect("looked at").health = back;
+            self.endpoints.get_mut(&id).expect("looked up above").health = back;
         }
         self.changed_dests.insert(dest);
     }
@@ -707,7 +711,7 @@
 
     /// Adjusts the number of held texts of a destination and of all.
     fn count_held(&mut self, dest: DestId, by: isize) {
-        let hold = self.holds.get_mut(&dest).expect("a text at hand has its hold");
+        let hold = self.holds.get_mut(&dest).expect("a text has a hold");
         self.holds_by_size.remove(&(hold.held, dest));
         hold.held = hold.held.saturating_add_signed(by);
         self.held = self.held.saturating_add_signed(by);
@@ -717,8 +721,8 @@
     /// Moves a text to a stage and keeps the sets of its hold in step.
     fn set_stage(&mut self, id: TextId, stage: Stage) {
         let expires_at = self.expires_at(&self.texts[&id]);
-        let text = self.texts.get_mut(&id).expect("only texts at hand are moved");
-        let hold = self.holds.get_mut(&text.dest).expect("a text at hand has its hold");
+        let text = self.texts.get_mut(&id).expect("the text exists");
+        let hold = self.holds.get_mut(&text.dest).expect("a text has a hold");
         let stage = if stage == Stage::Fresh && text.submits > 0 { Stage::RetryReady } else { stage };
         hold.fresh.remove(&id);
         hold.retry_ready.remove(&id);
@@ -817,21 +821,21 @@
         let until =
             routes.filter_map(|(_, route)| Some(route.health.opens_at(0)?.max(route.wait_until))).min();
         let wait = until.map_or(Span::ZERO, |until| until.since(self.now));
-        let retry_after = self.settings.longest_advice.map(|most| wait.max(INITIAL_BACKOFF).min(most));
+        let advised_wait = self.settings.longest_advice.map(|most| wait.max(INITIAL_BACKOFF).min(most));
         // A client that comes back after the receiver's deduplication memory has ended would have the text
         // run twice.
-        let back = self.now + retry_after.unwrap_or(INITIAL_BACKOFF);
+        let back = self.now + advised_wait.unwrap_or(INITIAL_BACKOFF);
         let harmless = match self.repeat(text) {
             Repeat::Resendable => true,
             Repeat::Referenced { one_zone: true, .. } | Repeat::OnceOnly => text.first_in_doubt.is_none(),
             Repeat::Referenced { .. } => self.memory_ends(text).is_none_or(|end| back < end),
         };
         if harmless && text.current_call.is_none() {
-            self.actions.push(Action::Nack { text: id, retry_after: retry_after });
+            self.actions.push(Action::Nack { text: id, retry_after: advised_wait });
         } else {
             self.actions.push(Action::Undeliverable { text: id });
         }
-        self.texts.get_mut(&id).expect("given up once").end_unreported = true;
+        self.texts.get_mut(&id).expect("the text exists").end_unreported = true;
         self.end_text(id);
     }
 
@@ -885,7 +889,7 @@
             Timer::ReleaseKey(key) => self.advance_key(key),
             Timer::Subscribe => self.actions.push(Action::Subscribe { on: true }),
             Timer::RouteOpens(dest) => {
-                self.holds.get_mut(&dest).expect("looked at").recheck_at = None;
+                self.holds.get_mut(&dest).expect("a destination with a timer has a hold").recheck_at = None;
                 self.changed_dests.insert(dest);
             }
             Timer::DropIdleRoute(id) => self.drop_idle_route(id),
@@ -926,7 +930,7 @@
         // time.
         if outcome.verdict == Verdict::Full || outcome.retry_after.is_some() {
             let known = self.known_rate(route_id);
-            let route = self.routes.get_mut(&route_id).expect("a lane with calls out stays");
+            let route = self.routes.get_mut(&route_id).expect("a route with calls out is kept");
             if let Some(wait) = outcome.retry_after {
                 route.wait_until = route.wait_until.max(self.now + wait + self.settings.tick);
             }
@@ -961,8 +965,8 @@
         }
         if done {
             self.calls.remove(&call_id);
-            self.endpoints.get_mut(&endpoint).expect("known").calls.remove(&call_id);
-            self.routes.get_mut(&route_id).expect("a lane with calls out stays").calls.remove(&call_id);
+            self.endpoints.get_mut(&endpoint).expect("the endpoint is known").calls.remove(&call_id);
+            self.routes.get_mut(&route_id).expect("a route with calls out is kept").calls.remove(&call_id);
         }
         self.changed_dests.insert(self.endpoints[&endpoint].dest);
         self.close_idle(endpoint);
@@ -990,6 +994,8 @@
         }
     }
 
+    /// Updates health, window, pace and answer times of a route and an endpoint by the first outcome of a
+    /// call.
     fn assess(&mut self, endpoint_id: EndpointId, sent: Moment, timeout_shortened: bool, outcome: &Outcome) {
         let (now, slots, cold) = (self.now, self.settings.slots, self.settings.cold_span);
         let route_id = self.route_of(endpoint_id);
@@ -1009,8 +1015,8 @@
             .filter(|_| unlimited)
             .map(|reported| self.initial_pace(route_id, reported.calls_per_sec));
         let scarce = reported.is_some_and(|reported| reported.remaining_share < LOW_LIMIT_SHARE);
-        let endpoint = self.endpoints.get_mut(&endpoint_id).expect("known");
-        let route = self.routes.get_mut(&route_id).expect("a lane with calls out stays");
+        let endpoint = self.endpoints.get_mut(&endpoint_id).expect("the endpoint is known");
+        let route = self.routes.get_mut(&route_id).expect("a route with calls out is kept");
         if let Some(allowance) = outcome.allowance {
             (route.reported_rate, route.pace) = (allowance.calls_per_sec, start.unwrap_or(route.pace));
             // Each of many senders sees only here what the others use: an overload response comes when the
@@ -1143,15 +1149,15 @@
         let hold = &self.holds[&at.dest];
         let pause = hold.endpoints.len() as f64 / self.demand(at.dest).max(1e-3);
         let lately = |at: Option<&Moment>| at.is_some_and(|at| self.now.since(*at) < CONNECTION_LOSS_SPAN);
-        let (lost, connections_full_at) =
+        let (lost, connections_full) =
             (lately(self.connection_lost_at.get(&at.kind)), lately(self.connections_full_at.get(&at.kind)));
-        let sparse_failure = pause > self.settings.keeps_alive.as_secs() * IDLE_KEEP_SHARE;
+        let rarely_used = pause > self.settings.keeps_alive.as_secs() * IDLE_KEEP_SHARE;
         // Connections that wait for their route's pace or retry-after time also keep others out of a
         // receiver with too few connections.
         let opens = self.routes.get(&self.route_of(id)).and_then(|route| route.opens_at(self.settings.slots));
-        let held_back = connections_full_at && opens.is_none_or(|opens| opens > self.now);
+        let held_back = connections_full && opens.is_none_or(|opens| opens > self.now);
         let idle = at.calls.is_empty() && (held_back || hold.fresh.is_empty() && hold.retry_ready.is_empty());
-        let shut = idle && (connections_full_at || lost && sparse_failure);
+        let shut = idle && (connections_full || lost && rarely_used);
         self.actions.extend(shut.then_some(Action::CloseIdle { endpoint: id }));
     }
 
@@ -1159,9 +1165,9 @@
     /// no text for the destination.
     fn own_share(&self, id: RouteId) -> f64 {
         let known = self.known_rate(id);
-        let accepted =
+        let expected =
             if known > 0.0 { self.demand(id.0).min(known) } else { self.demand(id.0) * PEAK_TO_MEAN };
-        accepted.max(known.max(MIN_WARM_RATE) / self.settings.senders.max(1) as f64)
+        expected.max(known.max(MIN_WARM_RATE) / self.settings.senders.max(1) as f64)
     }
 
     /// Pace that a sender starts with before it has met the limit of a receiver. Where rejected calls cost,
@@ -1182,10 +1188,10 @@
         let equal = self.known_rate(id) / senders;
         // A process that has just started has no demand history, so it goes by the texts that it holds.
         let backlog_rate = self.holds.get(&id.0).map_or(0.0, |hold| hold.held as f64) / cold_span;
-        let own_share =
+        let rate_share =
             if equal > 0.0 { equal } else { (self.demand(id.0) * COLD_PEAK_TO_MEAN).max(backlog_rate) };
         let least = if equal > 0.0 { 1e-3 } else { (MIN_COLD_RATE / senders).max(2.0 / cold_span) };
-        Span::from_millis(1000.0 / (self.settings.tip_multiple * share * own_share).max(least))
+        Span::from_millis(1000.0 / (self.settings.tip_multiple * share * rate_share).max(least))
     }
 
     /// Delay of this sender's first call to a recovering receiver: senders take turns, each starting a
@@ -1242,7 +1248,7 @@
     /// Updates the place of a destination among those that may send.
     fn update_candidate(&mut self, dest: DestId, unusable: &BTreeSet<EndpointId>) {
         let picked = self.pick_endpoint(dest, unusable);
-        let hold = self.holds.get_mut(&dest).expect("what is touched has a hold");
+        let hold = self.holds.get_mut(&dest).expect("a changed destination has a hold");
         let rank = picked.as_ref().ok().map(|(rank, _)| *rank);
         std::mem::replace(&mut hold.rank, rank).map(|old| self.candidates.remove(&old));
         self.candidates.extend(rank);
@@ -1309,7 +1315,7 @@
                 );
             }
         }
-        let hold = self.holds.get_mut(&dest).expect("looked at");
+        let hold = self.holds.get_mut(&dest).expect("looked up above");
         hold.resumed_unclear = hold.resumed_unclear.filter(|_| hold.endpoints.is_empty());
     }
 
@@ -1390,10 +1396,10 @@
         let parts = self.holds[&dest].endpoints.len() as f64;
         let endpoint_interval =
             self.cold_call_interval(route_id, warm_from(&self.endpoints[&endpoint].health)) * parts;
-        let at = self.endpoints.get_mut(&endpoint).expect("known");
+        let at = self.endpoints.get_mut(&endpoint).expect("the endpoint is known");
         at.calls.insert(call);
         (at.last_used, at.health.next) = (self.now, at.health.next.max(self.now + endpoint_interval));
-        let route = self.routes.get_mut(&route_id).expect("made above");
+        let route = self.routes.get_mut(&route_id).expect("the route was opened above");
         route.calls.insert(call);
         (route.last_used, route.health.next) = (self.now, route.health.next.max(self.now + route_interval));
         if route.pace > 0.0 {
