--- a/crates/sender/src/list.rs
+++ b/crates/sender/src/list.rs
@@ -14,7 +14,7 @@
 use indigomast::api::{Condition, KindId, ZoneId};
 use indigomast::list_lease::{LeaseSettings, ListLease, QueryFailure, Subscription};
 use indigomast::time::{Moment, Span};
-use indigomast_site::{Complaint, read};
+use indigomast_site::{Complaint, parse_json};
 use serde::{Deserialize, Serialize};
 use std::io::{self, ErrorKind};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -72,8 +72,8 @@
         Ok(ListedEndpoint {
             address,
             dest: member.cell,
-            kind: KindId(site.kinds.find(&member.flavor, "flavor")?),
-            zone: ZoneId(site.zones.find(&member.locality, "locality")?),
+            kind: KindId(site.kinds.index_of(&member.flavor, "flavor")?),
+            zone: ZoneId(site.zones.index_of(&member.locality, "locality")?),
             units: member.size,
             condition: match member.phase {
                 Phase::Ready => Condition::Running,
@@ -543,7 +543,7 @@
 
     fn read(&self, body: &[u8], whole: bool) -> Result<EndpointList, Complaint> {
         let text = std::str::from_utf8(body).map_err(|e| e.to_string())?;
-        let listing = EndpointList::of(read(text)?, &self.site.get(), &self.limits)?;
+        let listing = EndpointList::of(parse_json(text)?, &self.site.get(), &self.limits)?;
         if whole && !listing.complete {
             return Err("changes came where the whole list was asked for".into());
         }
