--- a/src/rules.rs
+++ b/src/rules.rs
@@ -244,8 +244,10 @@
     /// Failures since the last success, weighted; halved by a success while not healthy.
     #[serde(rename = "strikes")]
     consecutive_failures: u32,
+    /// When the last counted failure was received.
     #[serde(rename = "struck_at")]
     last_failure_at: Moment,
+    /// When the last success was received.
     last_ok: Moment,
 }
 
@@ -322,6 +324,7 @@
 }
 
 impl Endpoint {
+    /// Whether calls other than those already out may go to the endpoint.
     fn serves(&self) -> bool {
         self.running && !self.taken_out
     }
@@ -372,10 +375,13 @@
     endpoints: BTreeMap<EndpointId, Endpoint>,
     #[serde(rename = "lanes")]
     routes: BTreeMap<RouteId, Route>,
+    /// When a connection to each kind of destination was last lost.
     #[serde(rename = "lost")]
     connection_lost_at: BTreeMap<KindId, Moment>,
+    /// The decayed count of arrivals of each destination and its time.
     #[serde(rename = "asked")]
     arrivals: Vec<(DestId, f64, Moment)>,
+    /// Until when each paused key is paused.
     #[serde(rename = "rests")]
     key_pauses: Vec<(KeyId, Moment)>,
     started: Option<Moment>,
@@ -391,6 +397,7 @@
     routes: BTreeMap<RouteId, Route>,
     holds: BTreeMap<DestId, Hold>,
     texts: BTreeMap<TextId, Text>,
+    /// Keys with texts or a pause.
     keys: BTreeMap<KeyId, KeyQueue>,
     calls: BTreeMap<u64, Call>,
     next_call: u64,
@@ -410,11 +417,13 @@
     connections_full_at: BTreeMap<KindId, Moment>,
     /// Destinations by the number of texts held for them.
     holds_by_size: BTreeSet<(usize, DestId)>,
+    /// Consecutive failures to get the list.
     failed_subscribes: u32,
     /// End of the lease under which the list may be used.
     list_valid_until: Option<Moment>,
     /// Another process is taking over, so nothing new is submitted.
     submits_paused: bool,
+    /// When demand was first measured, by this process or one before.
     started: Option<Moment>,
     now: Moment,
     actions: Vec<Action>,
@@ -778,6 +787,7 @@
         key.into_iter().for_each(|key| self.advance_key(key));
     }
 
+    /// What a second run of the text would do at its receiver.
     fn repeat(&self, text: &Text) -> Repeat {
         self.settings.products[text.product.0].repeat
     }
