--- a/tests/window.rs
+++ b/tests/window.rs
@@ -1,7 +1,8 @@
-//! A referenced text in doubt and the window in which its receiver drops repeats, walked over restarts and clocks that
-//! jump: whatever comes, no submit may reach the receiver after the window of the first one that may have run.
+//! Tests the deduplication window of a receiver, for a referenced text in doubt, over restarts and long
+//! stalls: no submit may reach the receiver after the window that starts with the first submit that may have
+//! run.
 //!
-//! Days of restarts may set it to one second, which is less than the pauses, time-outs and stalls of an ordinary day.
+//! A window may be as short as one second, which is less than ordinary pauses, time-outs and stalls.
 
 use indigomast::api::*;
 use indigomast::rng::Rng;
@@ -9,15 +10,15 @@
 use indigomast::time::{Moment, Span};
 use std::collections::BTreeMap;
 
-/// Over this a receiver has forgotten a text, whoever submitted it.
-const WINDOWS: [i64; 4] = [500, 1_000, 2_000, 15_000];
-/// What the carrier needs at the most between the last moment at which a call may leave and its last byte's coming.
-const ON_THE_WAY: Span = Span::millis(100);
-const LIVES: i64 = 6_000;
-const TEXTS: usize = 40;
+/// Deduplication windows in milliseconds, after which a receiver has forgotten a text, whoever submitted it.
+const DEDUP_WINDOWS_MS: [i64; 4] = [500, 1_000, 2_000, 15_000];
+/// Maximum time the carrier needs from the send deadline of a call until its last byte has arrived.
+const MAX_TRANSMIT_TIME: Span = Span::millis(100);
+const VALIDITY_MS: i64 = 6_000;
+const MAX_TEXTS: usize = 40;
 
-fn settings(window: i64, one_zone: bool, texts_per_call: usize) -> Settings {
-    let repeat = Repeat::Referenced { memory: Span::millis(window), one_zone };
+fn settings(dedup_window: i64, one_zone: bool, texts_per_call: usize) -> Settings {
+    let repeat = Repeat::Referenced { memory: Span::millis(dedup_window), one_zone };
     Settings {
         ordinal: 0,
         senders: 1,
@@ -37,30 +38,30 @@
     }
 }
 
-/// What the journal says of a text, which is all that outlasts a kill.
+/// What the journal contains of a text, which is all that survives a kill.
 #[derive(Clone, Debug, Default)]
-struct Noted {
+struct JournaledText {
     valid_until: Moment,
     submits: usize,
-    /// Without an outcome that it never ran.
+    /// Submits without an outcome that proves that they never ran.
     in_doubt: Vec<(Moment, ZoneId)>,
-    over: bool,
+    finished: bool,
 }
 
-struct Life {
+struct Process {
     rules: Rules,
-    out: Vec<(TextId, usize, EndpointId, Moment)>,
-    wake: Moment,
+    in_flight: Vec<(TextId, usize, EndpointId, Moment)>,
+    wake_at: Moment,
 }
 
 struct World {
     settings: Settings,
-    window: Span,
+    dedup_window: Span,
     now: Moment,
-    noted: BTreeMap<TextId, Noted>,
-    life: Life,
-    chance: Rng,
-    /// Submits of texts in doubt, and those given up for it.
+    journaled: BTreeMap<TextId, JournaledText>,
+    process: Process,
+    rng: Rng,
+    /// Number of submits of texts in doubt, and of texts given up while in doubt.
     repeats: usize,
     given_up: usize,
 }
@@ -78,31 +79,35 @@
 }
 
 impl World {
-    fn new(settings: Settings, window: i64, seed: u64) -> World {
+    fn new(settings: Settings, dedup_window: i64, seed: u64) -> World {
         let rules = Rules::new(settings.clone(), seed);
         let now = Moment::from_millis(1e9);
-        let life = Life { rules, out: Vec::new(), wake: now };
-        let (window, chance) = (Span::millis(window), Rng::new(seed));
-        let noted = BTreeMap::new();
-        let mut world = World { settings, window, now, noted, life, chance, repeats: 0, given_up: 0 };
+        let process = Process { rules, in_flight: Vec::new(), wake_at: now };
+        let (dedup_window, rng) = (Span::millis(dedup_window), Rng::new(seed));
+        let journaled = BTreeMap::new();
+        let mut world =
+            World { settings, dedup_window, now, journaled, process, rng, repeats: 0, given_up: 0 };
         world.step(vec![list()]);
         world
     }
 
     fn step(&mut self, events: Vec<Event>) {
-        for action in self.life.rules.step(self.now, events) {
+        for action in self.process.rules.step(self.now, events) {
             match action {
                 Action::Submit { text, endpoint, time_out, send_deadline, .. } => {
-                    let noted = self.noted.get_mut(&text).expect("handed in");
-                    assert!(!noted.over, "{text:?} is submitted after its end");
-                    if let Some((first, zone)) = noted.in_doubt.first() {
-                        let forgotten = *first + self.window;
+                    let journaled = self.journaled.get_mut(&text).expect("handed in");
+                    assert!(!journaled.finished, "{text:?} is submitted after its end");
+                    if let Some((first, zone)) = journaled.in_doubt.first() {
+                        let forgotten = *first + self.dedup_window;
                         assert!(
-                            self.now + ON_THE_WAY < forgotten,
+                            self.now + MAX_TRANSMIT_TIME < forgotten,
                             "{text:?}: {:?} after its doubt",
                             self.now.since(*first)
                         );
-                        assert!(send_deadline + ON_THE_WAY <= forgotten, "{text:?} may leave too late");
+                        assert!(
+                            send_deadline + MAX_TRANSMIT_TIME <= forgotten,
+                            "{text:?} may leave too late"
+                        );
                         let one_zone = matches!(
                             self.settings.products[0].repeat,
                             Repeat::Referenced { one_zone: true, .. }
@@ -113,42 +118,42 @@
                         );
                         self.repeats += 1;
                     }
-                    self.life.out.push((text, noted.submits, endpoint, self.now + time_out));
-                    noted.submits += 1;
-                    noted.in_doubt.push((self.now, ZoneId(endpoint.0)));
+                    self.process.in_flight.push((text, journaled.submits, endpoint, self.now + time_out));
+                    journaled.submits += 1;
+                    journaled.in_doubt.push((self.now, ZoneId(endpoint.0)));
                 }
                 Action::Nack { text, .. } | Action::Undeliverable { text } => {
-                    let noted = self.noted.get_mut(&text).expect("handed in");
-                    assert!(!std::mem::replace(&mut noted.over, true), "{text:?} ends twice");
-                    self.given_up += usize::from(!noted.in_doubt.is_empty());
+                    let journaled = self.journaled.get_mut(&text).expect("handed in");
+                    assert!(!std::mem::replace(&mut journaled.finished, true), "{text:?} ends twice");
+                    self.given_up += usize::from(!journaled.in_doubt.is_empty());
                 }
-                Action::WakeAt(at) => self.life.wake = at,
+                Action::WakeAt(at) => self.process.wake_at = at,
                 _ => {}
             }
         }
     }
 
     fn hand_in(&mut self, at: usize) {
-        let valid_until = self.now + Span::millis(LIVES);
-        self.noted.insert(TextId(at), Noted { valid_until, ..Noted::default() });
+        let valid_until = self.now + Span::millis(VALIDITY_MS);
+        self.journaled.insert(TextId(at), JournaledText { valid_until, ..JournaledText::default() });
         let handed = self.handed(TextId(at));
         self.step(vec![Event::Accepted(handed)]);
     }
 
     fn handed(&self, text: TextId) -> AcceptedText {
-        let valid_until = self.noted[&text].valid_until;
+        let valid_until = self.journaled[&text].valid_until;
         AcceptedText { text, product: ProductId(0), dest: DestId(0), key: None, valid_until }
     }
 
-    /// Ends the submit that has been out longest, or the one of this number.
+    /// Ends the submit at index `at` of those in flight.
     fn answer(&mut self, at: usize, verdict: Verdict) {
-        let (text, submit, endpoint, _) = self.life.out.remove(at);
-        let noted = self.noted.get_mut(&text).expect("handed in");
+        let (text, submit, endpoint, _) = self.process.in_flight.remove(at);
+        let journaled = self.journaled.get_mut(&text).expect("handed in");
         if verdict.never_ran() {
-            // As the journal has it: an earlier submit stays in doubt.
-            noted.in_doubt.pop();
+            // As in the journal, earlier submits stay in doubt.
+            journaled.in_doubt.pop();
         }
-        noted.over |= verdict == Verdict::Delivered;
+        journaled.finished |= verdict == Verdict::Delivered;
         let ended = verdict == Verdict::Delivered;
         let latency = Span::millis(20);
         let (retry_after, allowance) = (None, None);
@@ -166,45 +171,47 @@
         self.step(vec![Event::Outcome(outcome)]);
     }
 
-    /// What a process hands over that leaves in order, which it does once no call is out.
-    fn leaves(&self, hands_over: bool) -> Option<LearnedState> {
-        (hands_over && self.life.out.is_empty()).then(|| self.life.rules.learned_state())
+    /// The state that a process hands over on an orderly exit, which happens only when no call is in flight.
+    fn handed_over_state(&self, hands_over: bool) -> Option<LearnedState> {
+        (hands_over && self.process.in_flight.is_empty()).then(|| self.process.rules.learned_state())
     }
 
-    /// The process dies, and another one has started after `gone`; what was out may have run.
-    fn restart(&mut self, gone: Span, learnt: Option<LearnedState>) {
-        self.now += gone;
-        let rules = match learnt {
-            Some(learnt) => Rules::successor(self.settings.clone(), 7, learnt),
+    /// Kills the process and starts another after `downtime`; calls in flight may have run.
+    fn restart(&mut self, downtime: Span, learned_state: Option<LearnedState>) {
+        self.now += downtime;
+        let rules = match learned_state {
+            Some(learned_state) => Rules::successor(self.settings.clone(), 7, learned_state),
             None => Rules::new(self.settings.clone(), 7),
         };
-        self.life = Life { rules, out: Vec::new(), wake: self.now };
+        self.process = Process { rules, in_flight: Vec::new(), wake_at: self.now };
         let mut events = vec![list()];
-        for (text, noted) in self.noted.iter().filter(|(_, noted)| !noted.over) {
-            let past =
-                SubmitHistory { submits: noted.submits, first_in_doubt: noted.in_doubt.first().copied() };
+        for (text, journaled) in self.journaled.iter().filter(|(_, journaled)| !journaled.finished) {
+            let past = SubmitHistory {
+                submits: journaled.submits,
+                first_in_doubt: journaled.in_doubt.first().copied(),
+            };
             events.push(Event::Resumed(self.handed(*text), past));
         }
         self.step(events);
     }
 
-    /// Lets time pass; a stall is one long step, as of a process that stood still.
-    fn pass(&mut self, millis: i64, stall: bool) {
+    /// Advances the clock; a stall is one long step, as of a suspended process.
+    fn advance(&mut self, millis: i64, stall: bool) {
         let end = self.now + Span::millis(millis);
         while self.now < end {
             self.now = if stall { end } else { (self.now + Span::millis(5)).min(end) };
-            while let Some(at) = self.life.out.iter().position(|(.., by)| *by <= self.now) {
+            while let Some(at) = self.process.in_flight.iter().position(|(.., by)| *by <= self.now) {
                 self.answer(at, Verdict::TimeOut);
             }
-            if self.life.wake <= self.now {
+            if self.process.wake_at <= self.now {
                 self.step(vec![Event::TimerFired]);
             }
         }
     }
 }
 
-/// Each verdict that leaves a doubt, or none, and a restart so long after the submit, with or without what the process
-/// before had learnt, in windows from half a second on.
+/// Tries each verdict, with doubt or without, and a restart at various times after the submit, with and
+/// without the state learned by the previous process, for windows from half a second up.
 #[test]
 fn a_doubt_over_a_restart_binds_until_the_window_is_over() {
     let verdicts = [
@@ -218,23 +225,26 @@
         Some(Verdict::Moot),
     ];
     let mut seen = BTreeMap::<i64, (usize, usize)>::new();
-    for window in WINDOWS {
+    for dedup_window in DEDUP_WINDOWS_MS {
         for one_zone in [false, true] {
             for (verdict, hands_over) in
                 verdicts.iter().flat_map(|verdict| [(verdict, false), (verdict, true)])
             {
                 for after in [0, 1, 100, 345, 395, 405, 600, 695, 705, 995, 1_005, 1_700, 3_000] {
-                    for gone in [0, 5, 300, 600, 1_200] {
-                        let mut world = World::new(settings(window, one_zone, 1), window, 3);
+                    for downtime in [0, 5, 300, 600, 1_200] {
+                        let mut world = World::new(settings(dedup_window, one_zone, 1), dedup_window, 3);
                         world.hand_in(0);
-                        world.pass(20, false);
+                        world.advance(20, false);
                         verdict.iter().for_each(|verdict| world.answer(0, *verdict));
-                        world.pass(after, false);
-                        let learnt = world.leaves(hands_over);
-                        world.restart(Span::millis(gone), learnt);
-                        world.pass(LIVES + 500, false);
-                        assert!(world.noted[&TextId(0)].over, "{window} {verdict:?} {after} {gone}: no end");
-                        let seen = seen.entry(window).or_default();
+                        world.advance(after, false);
+                        let learned_state = world.handed_over_state(hands_over);
+                        world.restart(Span::millis(downtime), learned_state);
+                        world.advance(VALIDITY_MS + 500, false);
+                        assert!(
+                            world.journaled[&TextId(0)].finished,
+                            "{dedup_window} {verdict:?} {after} {downtime}: no end"
+                        );
+                        let seen = seen.entry(dedup_window).or_default();
                         *seen = (seen.0 + world.repeats, seen.1 + world.given_up);
                     }
                 }
@@ -242,29 +252,29 @@
         }
     }
     println!("by window, repeats and texts given up in doubt: {seen:?}");
-    // The walk means something: where there is time for it a text in doubt does go again.
+    // Checks that the test is not vacuous: where there is time for it, a text in doubt is repeated.
     assert!(seen[&1_000].0 > 100 && seen[&15_000].0 > seen[&1_000].0, "{seen:?}");
 }
 
-/// Drawn days: texts come, answers of all kinds, spells of standing still, kills at any step and hand-overs; calls of one
-/// and of several texts.
+/// Runs random sequences of new texts, answers of all kinds, stalls, kills at any step and hand-overs, with
+/// calls of one and of several texts.
 #[test]
 fn no_submit_outlives_the_window_on_drawn_days_of_restarts() {
     let (mut repeats, mut restarts) = (0, 0);
     for seed in 0..120 {
-        let window = WINDOWS[seed as usize % WINDOWS.len()];
+        let dedup_window = DEDUP_WINDOWS_MS[seed as usize % DEDUP_WINDOWS_MS.len()];
         let several = if seed % 3 == 0 { 4 } else { 1 };
-        let mut world = World::new(settings(window, seed % 5 == 0, several), window, seed);
+        let mut world = World::new(settings(dedup_window, seed % 5 == 0, several), dedup_window, seed);
         let mut texts = 0;
         for _ in 0..400 {
-            match (world.chance.next_f64() * 100.0) as u32 {
-                0..20 if texts < TEXTS => {
+            match (world.rng.next_f64() * 100.0) as u32 {
+                0..20 if texts < MAX_TEXTS => {
                     world.hand_in(texts);
                     texts += 1;
                 }
-                0..55 if !world.life.out.is_empty() => {
-                    let at = (world.chance.next_f64() * world.life.out.len() as f64) as usize;
-                    let verdict = match (world.chance.next_f64() * 10.0) as u32 {
+                0..55 if !world.process.in_flight.is_empty() => {
+                    let at = (world.rng.next_f64() * world.process.in_flight.len() as f64) as usize;
+                    let verdict = match (world.rng.next_f64() * 10.0) as u32 {
                         0 => Verdict::Delivered,
                         1..4 => Verdict::Reset,
                         4..6 => Verdict::Error,
@@ -275,32 +285,35 @@
                     world.answer(at, verdict);
                 }
                 55..60 => {
-                    let hands_over = world.chance.next_f64() < 0.3;
-                    let learnt = world.leaves(hands_over);
-                    let gone = Span::from_millis(world.chance.next_f64() * 900.0);
-                    world.restart(gone, learnt);
+                    let hands_over = world.rng.next_f64() < 0.3;
+                    let learned_state = world.handed_over_state(hands_over);
+                    let downtime = Span::from_millis(world.rng.next_f64() * 900.0);
+                    world.restart(downtime, learned_state);
                     restarts += 1;
                 }
                 60..64 => {
-                    let stall = (world.chance.next_f64() * 1_500.0) as i64 + 1;
-                    world.pass(stall, true);
+                    let stall = (world.rng.next_f64() * 1_500.0) as i64 + 1;
+                    world.advance(stall, true);
                 }
                 _ => {
-                    let spell = (world.chance.next_f64() * 60.0) as i64 + 1;
-                    world.pass(spell, false);
+                    let pause = (world.rng.next_f64() * 60.0) as i64 + 1;
+                    world.advance(pause, false);
                 }
             }
         }
-        world.pass(LIVES + 1_000, false);
-        assert!(world.noted.values().all(|noted| noted.over), "seed {seed}: not all have an end");
+        world.advance(VALIDITY_MS + 1_000, false);
+        assert!(
+            world.journaled.values().all(|journaled| journaled.finished),
+            "seed {seed}: not all have an end"
+        );
         repeats += world.repeats;
     }
     println!("{restarts} restarts, {repeats} repeats");
     assert!(repeats > 500 && restarts > 500, "{repeats} {restarts}");
 }
 
-/// A short window is no reason to give up early: a text that was lost is repeated within the second where its receiver
-/// answers, and before fresh texts that never run out.
+/// A short window must not make the sender give up early: a lost text is repeated within the second if its
+/// receiver answers, even while there are always fresh texts.
 #[test]
 fn within_a_second_a_lost_text_goes_again() {
     for (lost_after, repeated) in [(50, true), (200, true), (350, true), (650, false), (900, false)] {
@@ -308,16 +321,17 @@
         settings.products[0].sla_time = Span::millis(1_200);
         let mut world = World::new(settings, 1_000, 5);
         world.hand_in(0);
-        world.pass(lost_after, false);
-        let first = world.life.out.iter().position(|(text, ..)| *text == TextId(0)).expect("out");
+        world.advance(lost_after, false);
+        let first =
+            world.process.in_flight.iter().position(|(text, ..)| *text == TextId(0)).expect("in flight");
         world.answer(first, Verdict::Reset);
         for at in 1..60 {
             world.hand_in(at);
-            world.pass(30, false);
-            while let Some(other) = world.life.out.iter().position(|(text, ..)| *text != TextId(0)) {
+            world.advance(30, false);
+            while let Some(other) = world.process.in_flight.iter().position(|(text, ..)| *text != TextId(0)) {
                 world.answer(other, Verdict::Delivered);
             }
         }
-        assert_eq!(world.noted[&TextId(0)].submits > 1, repeated, "lost after {lost_after} ms");
+        assert_eq!(world.journaled[&TextId(0)].submits > 1, repeated, "lost after {lost_after} ms");
     }
 }
