--- a/crates/admission/src/connections.rs
+++ b/crates/admission/src/connections.rs
@@ -118,7 +118,7 @@
     state: State,
     since: Moment,
     /// It was evicted for another connection and has not closed yet.
-    leaving: bool,
+    is_closing: bool,
 }
 
 impl Connection {
@@ -138,10 +138,10 @@
     open: BTreeMap<ConnectionNumber, Connection>,
     /// Admitted connections in eviction order: all, those of unknown clients, and those of each address.
     ranks: BTreeSet<Rank>,
-    strangers: BTreeSet<Rank>,
-    of_address: BTreeMap<IpAddr, BTreeSet<Rank>>,
-    of_prefix: BTreeMap<Network, usize>,
-    handed_in: usize,
+    unknown_ranks: BTreeSet<Rank>,
+    ranks_by_address: BTreeMap<IpAddr, BTreeSet<Rank>>,
+    count_by_prefix: BTreeMap<Network, usize>,
+    with_texts_count: usize,
     addresses: Addresses,
     rejected: BTreeMap<Reason, u64>,
 }
@@ -155,14 +155,14 @@
     pub fn step(&mut self, now: Moment, event: Event) -> Decision {
         match event {
             Event::Arrived { number, address, priority } => {
-                let answer = self.comes(now, number, plain(address), priority);
+                let answer = self.arrive(now, number, plain(address), priority);
                 if let Decision::Rejected(reason) = answer {
                     *self.rejected.entry(reason).or_default() += 1;
                 }
                 answer
             }
             Event::StateChanged { number, state } => {
-                self.enters(now, number, state);
+                self.change_state(now, number, state);
                 Decision::NoChange
             }
             Event::TextAccepted { number } => {
@@ -173,17 +173,17 @@
                 Decision::NoChange
             }
             Event::Closed { number } => {
-                self.ended(now, number);
+                self.close(now, number);
                 Decision::NoChange
             }
             Event::DescriptorShortage => {
                 // The waiting connection's first request is unknown, so connections that are in use are kept.
-                let least = self.least(now, Some(&self.strangers), Priority::Query);
+                let least = self.least(now, Some(&self.unknown_ranks), Priority::Query);
                 let least = least.or_else(|| self.least(now, Some(&self.ranks), Priority::Text));
                 let Some(least) = least.filter(|least| !self.is_new(now, *least)) else {
                     return Decision::NoChange;
                 };
-                self.leaves(now, least);
+                self.evict(now, least);
                 Decision::Evict(least)
             }
         }
@@ -196,12 +196,12 @@
 
     /// How many connections are idle after a request or await a response.
     pub fn with_texts(&self) -> usize {
-        self.handed_in
+        self.with_texts_count
     }
 
     /// Whether a connection was evicted, or is not in the table.
     pub fn is_evicted(&self, number: ConnectionNumber) -> bool {
-        self.open.get(&number).is_none_or(|connection| connection.leaving)
+        self.open.get(&number).is_none_or(|connection| connection.is_closing)
     }
 
     /// Connections in this state or an earlier one, such as the idle ones when the sender stops.
@@ -242,20 +242,20 @@
     }
 
     /// Takes one token for a new connection of an address; false if there is none.
-    fn keeps_pace(&mut self, now: Moment, address: IpAddr) -> bool {
+    fn take_connection_token(&mut self, now: Moment, address: IpAddr) -> bool {
         let Settings { new_per_second, new_burst, .. } = self.settings;
         if new_per_second <= 0.0 {
             return true;
         }
         self.change_address(now, address, |record| {
-            let grown = record.tokens + now.since(record.counted).as_secs() * new_per_second;
-            record.tokens = grown.min(new_burst.max(1.0));
+            let refilled = record.tokens + now.since(record.counted).as_secs() * new_per_second;
+            record.tokens = refilled.min(new_burst.max(1.0));
             record.counted = now;
-            let fine = record.tokens >= 1.0;
-            if fine {
+            let allowed = record.tokens >= 1.0;
+            if allowed {
                 record.tokens -= 1.0;
             }
-            fine
+            allowed
         })
     }
 
@@ -274,7 +274,7 @@
         ranks: Option<&BTreeSet<Rank>>,
         priority: Priority,
     ) -> Option<ConnectionNumber> {
-        let yields = |(state, since, _): &&Rank| match state {
+        let may_be_evicted = |(state, since, _): &&Rank| match state {
             State::Closing | State::NoRequest => priority >= Priority::Query,
             State::IdleNoText | State::Idle => priority == Priority::Text,
             State::ReadingRequest => {
@@ -283,10 +283,10 @@
             State::AwaitingResponse => false,
         };
         // The set is in eviction order: if the first can't be evicted, none behind it can.
-        ranks?.iter().next().filter(yields).map(|(.., number)| *number)
+        ranks?.iter().next().filter(may_be_evicted).map(|(.., number)| *number)
     }
 
-    fn comes(
+    fn arrive(
         &mut self,
         now: Moment,
         number: ConnectionNumber,
@@ -295,7 +295,7 @@
     ) -> Decision {
         let known = self.is_known(now, address);
         // A connection that was in the accept queue has been counted already.
-        if priority == Priority::Unknown && !self.keeps_pace(now, address) {
+        if priority == Priority::Unknown && !self.take_connection_token(now, address) {
             return Decision::Rejected(Reason::Pace);
         }
         let Settings {
@@ -316,7 +316,7 @@
         if (max_per_address > 0 && open >= max_per_address)
             || (max_reading_per_address > 0 && read >= max_reading_per_address)
         {
-            let own = self.of_address.get(&address);
+            let own = self.ranks_by_address.get(&address);
             let silent = self.least(now, own, priority.max(Priority::Query));
             let silent = silent.filter(|_| priority > Priority::Unknown || known);
             match silent {
@@ -327,13 +327,13 @@
                 None => return Decision::Rejected(Reason::Reading),
             }
         }
-        let neighbours = self.of_prefix.get(&prefix).copied().unwrap_or(0);
-        if max_per_prefix > 0 && neighbours >= max_per_prefix && evicted.is_none() && !known {
+        let in_prefix = self.count_by_prefix.get(&prefix).copied().unwrap_or(0);
+        if max_per_prefix > 0 && in_prefix >= max_per_prefix && evicted.is_none() && !known {
             return Decision::Rejected(Reason::Prefix);
         }
         if evicted.is_none() {
             let held = self.ranks.len();
-            let strange = self.strangers.len();
+            let strange = self.unknown_ranks.len();
             let room = if known {
                 held < max_connections
             } else {
@@ -343,7 +343,7 @@
                 // A known client replaces a connection of an unknown client first, then any connection.
                 let stranger = self.least(
                     now,
-                    Some(&self.strangers),
+                    Some(&self.unknown_ranks),
                     if known { priority.max(Priority::Query) } else { priority },
                 );
                 let any = if known { self.least(now, Some(&self.ranks), priority) } else { None };
@@ -355,43 +355,43 @@
             }
         }
         if let Some(least) = evicted {
-            self.leaves(now, least);
+            self.evict(now, least);
         }
         let connection =
-            Connection { address, prefix, known, state: State::NoRequest, since: now, leaving: false };
+            Connection { address, prefix, known, state: State::NoRequest, since: now, is_closing: false };
         self.open.insert(number, connection);
         self.change_address(now, address, |record| {
             record.open += 1;
             record.reading += 1;
         });
-        *self.of_prefix.entry(prefix).or_default() += 1;
+        *self.count_by_prefix.entry(prefix).or_default() += 1;
         self.rank(number);
         Decision::Admitted { evicted }
     }
 
     fn rank(&mut self, number: ConnectionNumber) {
-        let Some(at) = self.open.get(&number).filter(|at| !at.leaving) else { return };
+        let Some(at) = self.open.get(&number).filter(|at| !at.is_closing) else { return };
         let rank = (at.state, at.since, number);
         self.ranks.insert(rank);
-        self.of_address.entry(at.address).or_default().insert(rank);
+        self.ranks_by_address.entry(at.address).or_default().insert(rank);
         if !at.known {
-            self.strangers.insert(rank);
+            self.unknown_ranks.insert(rank);
         }
-        self.handed_in += usize::from(matches!(at.state, State::Idle | State::AwaitingResponse));
+        self.with_texts_count += usize::from(matches!(at.state, State::Idle | State::AwaitingResponse));
     }
 
     fn unrank(&mut self, number: ConnectionNumber) {
-        let Some(at) = self.open.get(&number).filter(|at| !at.leaving) else { return };
+        let Some(at) = self.open.get(&number).filter(|at| !at.is_closing) else { return };
         let rank = (at.state, at.since, number);
         self.ranks.remove(&rank);
-        self.strangers.remove(&rank);
-        if let Some(own) = self.of_address.get_mut(&at.address) {
+        self.unknown_ranks.remove(&rank);
+        if let Some(own) = self.ranks_by_address.get_mut(&at.address) {
             own.remove(&rank);
             if own.is_empty() {
-                self.of_address.remove(&at.address);
+                self.ranks_by_address.remove(&at.address);
             }
         }
-        self.handed_in -= usize::from(matches!(at.state, State::Idle | State::AwaitingResponse));
+        self.with_texts_count -= usize::from(matches!(at.state, State::Idle | State::AwaitingResponse));
     }
 
     fn move_to(&mut self, number: ConnectionNumber, change: impl FnOnce(&mut Connection)) {
@@ -402,7 +402,7 @@
         self.rank(number);
     }
 
-    fn enters(&mut self, now: Moment, number: ConnectionNumber, state: State) {
+    fn change_state(&mut self, now: Moment, number: ConnectionNumber, state: State) {
         let Some(at) = self.open.get(&number).copied() else { return };
         // Before its first request is complete, a connection stays in `NoRequest`.
         if at.state == state || (at.state == State::NoRequest && state == State::ReadingRequest) {
@@ -418,34 +418,34 @@
     }
 
     /// Evicts a connection; it no longer counts for any limit, though it has not closed yet.
-    fn leaves(&mut self, now: Moment, number: ConnectionNumber) {
+    fn evict(&mut self, now: Moment, number: ConnectionNumber) {
         self.unrank(number);
         let Some(at) = self.open.get_mut(&number) else { return };
-        if std::mem::replace(&mut at.leaving, true) {
+        if std::mem::replace(&mut at.is_closing, true) {
             return;
         }
         let at = *at;
-        self.give_back(now, at);
+        self.release_counts(now, at);
     }
 
-    fn give_back(&mut self, now: Moment, at: Connection) {
+    fn release_counts(&mut self, now: Moment, at: Connection) {
         self.change_address(now, at.address, |record| {
             record.open = record.open.saturating_sub(1);
             record.reading = record.reading.saturating_sub(usize::from(at.is_read()));
         });
-        if let Some(count) = self.of_prefix.get_mut(&at.prefix) {
+        if let Some(count) = self.count_by_prefix.get_mut(&at.prefix) {
             *count -= 1;
             if *count == 0 {
-                self.of_prefix.remove(&at.prefix);
+                self.count_by_prefix.remove(&at.prefix);
             }
         }
     }
 
-    fn ended(&mut self, now: Moment, number: ConnectionNumber) {
+    fn close(&mut self, now: Moment, number: ConnectionNumber) {
         self.unrank(number);
         let Some(at) = self.open.remove(&number) else { return };
-        if !at.leaving {
-            self.give_back(now, at);
+        if !at.is_closing {
+            self.release_counts(now, at);
         }
     }
 }
