--- a/crates/sender/src/endpoint_table.rs
+++ b/crates/sender/src/endpoint_table.rs
@@ -17,7 +17,7 @@
     pub dest: u64,
     pub units: f64,
     pub condition: Condition,
-    /// The actor that gets new calls; `None` until the first call.
+    /// The actor that gets new calls; `None` until the next call starts one.
     pub peer: Option<Sender<Ask>>,
     /// Actors that get no new calls but may have some in flight, for which later requests still have to reach them.
     retired_peers: Vec<Sender<Ask>>,
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -98,12 +98,17 @@
     pub revision: Option<u64>,
     /// Endpoints as last listed; those off the list are given as deleted.
     pub endpoints: Vec<(EndpointId, ListedEndpoint)>,
+    /// The index that the next new endpoint gets.
     pub next_endpoint: usize,
+    /// Destination numbers by index.
     pub dests: Vec<u64>,
+    /// Ordering keys with their indices.
     pub keys: Vec<(String, usize)>,
+    /// The index that the next new key gets.
     pub next_key: usize,
     /// Ids of finished texts, each with its fingerprint, whether its connection was proven, and the milliseconds since the end.
     pub ids: Vec<(String, u32, bool, f64)>,
+    /// What the rules have learned.
     pub learnt: LearnedState,
 }
 
