--- a/crates/sender/benches/owed.rs
+++ b/crates/sender/benches/owed.rs
@@ -1,8 +1,8 @@
-//! What a text costs in the journal as the sender uses it: taken on, submitted once, ended, each of them written before
-//! the next; the longest of these writes; the next start; bytes.
+//! Measures the cost of a text in the journal: it is accepted, submitted once and ended, and each step is flushed before the
+//! next. Reports the time per text, the slowest flush, the recovery time, and the bytes on disk and in memory.
 //!
-//! `cargo bench -p indigomast-sender --bench owed`, on a folder under the target directory. Texts of 212 bytes; once all
-//! are held, each round ends the oldest and take on another. An argument gives the numbers of held texts.
+//! Run with `cargo bench -p indigomast-sender --bench owed`; it writes to a folder under the target directory. Texts have 212 bytes.
+//! Once all are held, each round ends the oldest and accepts another. Arguments give the numbers of held texts.
 
 use indigomast::time::Moment;
 use indigomast_sender::limits::{Grant, Limits};
@@ -18,7 +18,7 @@
     path
 }
 
-/// Enough memory, and as much disk as the number of texts asks for with a half to spare.
+/// Enough memory, and the disk space that this many texts need plus half of it in reserve.
 fn limits(texts: usize) -> Limits {
     let disk_mb = (texts as f64 * 2200.0 / 1e6).max(3.0);
     let limits = Limits::of(Grant::new(4 << 20, 1024, disk_mb));
--- a/crates/sender/src/list.rs
+++ b/crates/sender/src/list.rs
@@ -118,7 +118,7 @@
     /// Resolves the names of kinds and zones in a response.
     pub fn of(response: ListResponse, site: &Site, limits: &Limits) -> Result<EndpointList, Complaint> {
         if response.members.len() > limits.endpoints {
-            return Err(format!("members: {} are more than are looked after", response.members.len()));
+            return Err(format!("members: {} are more than this sender can handle", response.members.len()));
         }
         let listed = |(at, member): (usize, Member)| {
             ListedEndpoint::of(member, site).map_err(|e| format!("members[{at}].{e}"))
@@ -499,7 +499,7 @@
         if watch > 0 {
             let mut running = self.watch_state();
             if running.number != watch {
-                return Err((Reply::Broken, "it is over".into()));
+                return Err((Reply::Broken, "the watch was replaced".into()));
             }
             running.stream = Some(Arc::clone(open.stream()));
         }
--- a/crates/sender/src/list_file.rs
+++ b/crates/sender/src/list_file.rs
@@ -1,8 +1,8 @@
-//! What a sender was told last of its list, kept for the lives to come.
+//! The last endpoint list of a sender, saved for the next start.
 //!
-//! The list that a process is started with may be older than what the process before was told, and no endpoint that drained by
-//! then may be called by it. So the folder that lasts keeps the names of the endpoints that served, and as of when: what is not among
-//! them serves again once a list says so.
+//! The list that a process is started with may be older than the last one that the previous process received, and endpoints that
+//! stopped in between must not be called. So the state folder keeps the names of the running endpoints and the time of that
+//! list. An endpoint that is not among them is used again only once a newer list says that it runs.
 
 use crate::list::ListedEndpoint;
 use crate::log;
@@ -18,29 +18,34 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
+/// The file's name in the state folder.
 const FILE: &str = "list";
-const HEAD: &str = "indigomast-list 1";
-/// In bytes. What is longer is kept without names: the next life then serves by what it is told itself.
-const MOST: usize = 64 << 10;
+/// The first line, with the format's version.
+const HEADER: &str = "indigomast-list 1";
+/// Longest list of names in bytes. A longer one is saved without names; the next process then starts from the list that it receives
+/// itself.
+const MAX_NAMES_BYTES: usize = 64 << 10;
 
-/// What one life leaves to the next.
+/// What one process saves for the next.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SavedList {
+    /// Revision of the last list.
     pub revision: u64,
-    /// Who told it: another discovery counts otherwise.
-    pub told_by: SocketAddr,
-    /// It held all that discovery had at this moment of the folder's clock.
+    /// The discovery it came from; each discovery numbers revisions on its own.
+    pub received_from: SocketAddr,
+    /// The list was complete as of this time of the folder's clock.
     pub as_of: Moment,
-    /// A question has failed since.
+    /// Whether a query has failed since.
     pub failed: bool,
+    /// Names of the running endpoints.
     pub serving: BTreeSet<String>,
 }
 
 impl SavedList {
-    /// What the life before left; none where it left nothing that can be read.
+    /// Reads what the previous process saved; `None` if there is nothing or it is damaged.
     pub fn read(folder: &Path) -> Option<SavedList> {
         let text = fs::read_to_string(folder.join(FILE)).ok()?;
-        let (body, sum) = text.strip_prefix(HEAD)?.strip_prefix('\n')?.rsplit_once("sum ")?;
+        let (body, sum) = text.strip_prefix(HEADER)?.strip_prefix('\n')?.rsplit_once("sum ")?;
         let sum = u32::from_str_radix(sum.trim_end(), 16).ok()?;
         if sum != crc32fast::hash(body.as_bytes()) {
             return None;
@@ -48,30 +53,33 @@
         let mut lines = body.lines();
         let mut first = lines.next()?.split(' ');
         let revision = first.next()?.parse().ok()?;
-        let told_by = first.next()?.parse().ok()?;
+        let received_from = first.next()?.parse().ok()?;
         let as_of = first.next()?.parse::<f64>().ok().filter(|at| at.is_finite())?;
         let failed = first.next()? == "failed";
         let serving = lines.map(str::to_owned).collect();
-        Some(SavedList { revision, told_by, as_of: Moment::from_millis(as_of), failed, serving })
+        Some(SavedList { revision, received_from, as_of: Moment::from_millis(as_of), failed, serving })
     }
 
+    /// Replaces the file.
+    ///
     /// # Errors
     ///
-    /// It could not be written; what was there before is there still.
+    /// The file could not be written; the previous one is unchanged.
     pub fn write(&self, folder: &Path) -> io::Result<()> {
         let asked = if self.failed { "failed" } else { "answered" };
-        let mut body = format!("{} {} {:?} {asked}\n", self.revision, self.told_by, self.as_of.as_millis());
-        if self.serving.iter().map(|name| name.len() + 1).sum::<usize>() <= MOST {
+        let mut body =
+            format!("{} {} {:?} {asked}\n", self.revision, self.received_from, self.as_of.as_millis());
+        if self.serving.iter().map(|name| name.len() + 1).sum::<usize>() <= MAX_NAMES_BYTES {
             self.serving.iter().for_each(|name| _ = writeln!(body, "{name}"));
         }
         let sum = crc32fast::hash(body.as_bytes());
-        replace(folder, FILE, format!("{HEAD}\n{body}sum {sum:08x}\n").as_bytes(), Lasting::Process)
+        replace(folder, FILE, format!("{HEADER}\n{body}sum {sum:08x}\n").as_bytes(), Lasting::Process)
     }
 
-    /// Takes out of service those of a list that this life no longer knew as serving, unless the list is newer; whether there
-    /// were any.
-    pub fn stop_missing(&self, members: &mut [ListedEndpoint], revision: u64, listed_by: SocketAddr) -> bool {
-        if listed_by == self.told_by && revision > self.revision {
+    /// Marks the endpoints of a list that were not running in this one as stopping, unless that list is newer. Returns whether
+    /// this changed any.
+    pub fn stop_missing(&self, members: &mut [ListedEndpoint], revision: u64, source: SocketAddr) -> bool {
+        if source == self.received_from && revision > self.revision {
             return false;
         }
         let mut any = false;
@@ -83,7 +91,7 @@
     }
 }
 
-/// Keeps the list of a life that runs for the next one.
+/// Saves the list of the running process for the next one.
 pub struct ListSaver {
     folder: PathBuf,
     platform: Arc<Platform>,
@@ -91,45 +99,45 @@
 }
 
 impl ListSaver {
-    /// For a life that begins with a list of this revision, and with what the life before left.
-    pub fn new(folder: PathBuf, platform: Arc<Platform>, left: Option<&SavedList>, known: u64) -> ListSaver {
-        let told_by = platform.address();
+    /// For a process that starts with a list of this revision and with what the previous process saved.
+    pub fn new(folder: PathBuf, platform: Arc<Platform>, saved: Option<&SavedList>, known: u64) -> ListSaver {
+        let received_from = platform.address();
         let none = SavedList {
             revision: known,
-            told_by,
+            received_from,
             as_of: Moment::default(),
             failed: false,
             serving: BTreeSet::new(),
         };
-        let last = match left {
-            Some(left) if left.told_by == told_by => {
-                SavedList { revision: left.revision.max(known), ..left.clone() }
+        let last = match saved {
+            Some(saved) if saved.received_from == received_from => {
+                SavedList { revision: saved.revision.max(known), ..saved.clone() }
             }
-            Some(left) => SavedList { as_of: left.as_of, failed: left.failed, ..none },
+            Some(saved) => SavedList { as_of: saved.as_of, failed: saved.failed, ..none },
             None => none,
         };
         ListSaver { folder, platform, last }
     }
 
-    /// A list with this revision was told.
+    /// Records the revision of a received list.
     pub fn record_revision(&mut self, revision: u64) {
         self.last.revision = revision;
     }
 
-    /// The list is whole as of this moment, and whether a question has failed since; whether that is news worth keeping.
+    /// Records as of when the list is complete and whether a query has failed since. Returns whether that has to be saved.
     pub fn record_confirmation(&mut self, as_of: Moment, failed: bool) -> bool {
-        let is_news = as_of > self.last.as_of || (failed && !self.last.failed);
-        if is_news {
+        let changed = as_of > self.last.as_of || (failed && !self.last.failed);
+        if changed {
             self.last.as_of = self.last.as_of.max(as_of);
             self.last.failed = failed;
         }
-        is_news
+        changed
     }
 
-    /// Writes down which endpoints serve now, beside what was told.
+    /// Saves the running endpoints together with what was recorded.
     pub fn save<'a>(&mut self, serving: impl Iterator<Item = &'a str>) {
         self.last.serving = serving.map(str::to_owned).collect();
-        self.last.told_by = self.platform.address();
+        self.last.received_from = self.platform.address();
         if let Err(e) = self.last.write(&self.folder) {
             log!("the list can't be kept for the next start: {e}");
         }
--- a/crates/sender/src/list_file/tests.rs
+++ b/crates/sender/src/list_file/tests.rs
@@ -6,7 +6,13 @@
 
 fn last() -> SavedList {
     let serving = ["e1", "e2"].map(str::to_owned).into();
-    SavedList { revision: 43, told_by: HERE, as_of: Moment::from_millis(1_000.5), failed: true, serving }
+    SavedList {
+        revision: 43,
+        received_from: HERE,
+        as_of: Moment::from_millis(1_000.5),
+        failed: true,
+        serving,
+    }
 }
 
 fn folder(name: &str) -> std::path::PathBuf {
--- a/crates/sender/src/notices.rs
+++ b/crates/sender/src/notices.rs
@@ -1,4 +1,4 @@
-//! The actor that reports how texts ended, to the platform or wherever it is told to, until each report is answered.
+//! The actor that reports failed texts to the platform or another configured receiver, and retries until each report is answered.
 
 use crate::decider::Message;
 use crate::http;
@@ -15,6 +15,7 @@
 use std::thread;
 use std::time::Instant;
 
+/// A report that a text was not delivered.
 #[derive(Clone, Debug)]
 pub struct Notice {
     pub text: TextId,
@@ -22,7 +23,7 @@
     pub report: Report,
 }
 
-/// A notice as the platform reads it.
+/// A notice in the platform's format.
 #[derive(Serialize)]
 struct Line<'a> {
     id: &'a str,
@@ -42,19 +43,26 @@
     }
 }
 
-/// Whoever is told how texts ended.
+/// A receiver of reports.
 pub trait Reporter: Send {
-    /// Tells of these, all or none. On an error, which says what went wrong, they are told again.
+    /// Sends these notices, all or none.
+    ///
+    /// # Errors
+    ///
+    /// What went wrong; the notices are sent again.
     fn report(&mut self, batch: &[Notice]) -> Result<ReportResponse, String>;
 }
 
+/// How the receiver answered a batch of notices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportResponse {
+    /// All were accepted.
     Accepted,
-    /// One of them at least can't be read there: told alone, it is dropped.
+    /// The receiver cannot parse at least one of them. A batch is then sent one by one, and an unreadable one is dropped.
     Unreadable,
 }
 
+/// The actor's state.
 pub struct Notifier {
     pub reporter: Box<dyn Reporter>,
     pub limits: Arc<Limits>,
@@ -62,16 +70,18 @@
 }
 
 impl Notifier {
+    /// Sends notices in batches until the channel is closed.
     pub fn run(mut self, inbox: Receiver<Notice>) {
         while let Ok(first) = inbox.recv() {
             let mut batch = vec![first];
             batch.extend(inbox.try_iter().take(self.limits.reports_a_call - 1));
-            self.see_through(batch);
+            self.send_until_answered(batch);
         }
     }
 
-    /// A lost or late answer says nothing, and a notice that comes twice does no harm: it goes again.
-    fn see_through(&mut self, batch: Vec<Notice>) {
+    /// Sends a batch until it is answered. A lost or late answer leaves the outcome unknown, and a duplicate notice is harmless,
+    /// so the batch is sent again.
+    fn send_until_answered(&mut self, batch: Vec<Notice>) {
         let mut pause = self.limits.report_pause;
         loop {
             match self.reporter.report(&batch) {
@@ -80,8 +90,8 @@
                     return;
                 }
                 Ok(ReportResponse::Unreadable) if batch.len() > 1 => {
-                    // One that can't be read would hold back all others.
-                    return batch.into_iter().for_each(|notice| self.see_through(vec![notice]));
+                    // Sent one by one, so that an unreadable notice does not block the others.
+                    return batch.into_iter().for_each(|notice| self.send_until_answered(vec![notice]));
                 }
                 Ok(ReportResponse::Unreadable) => {
                     log!("the notice for {} can't be read by the platform and is dropped", batch[0].id);
@@ -98,22 +108,23 @@
     }
 }
 
-/// Requests with a body, each on a connection of its own: their answers name nothing, and one too many, as a second copy, would
-/// be taken for the answer to the next request.
+/// Sends POST requests, each on a connection of its own: responses do not identify their request, so a duplicate would be taken for
+/// the response to the next one.
 pub struct HttpPoster {
     limits: Arc<Limits>,
 }
 
 impl HttpPoster {
+    /// A client with these limits.
     pub fn new(limits: Arc<Limits>) -> HttpPoster {
         HttpPoster { limits }
     }
 
-    /// The status of the answer.
+    /// Sends a request and returns the status of the response.
     ///
     /// # Errors
     ///
-    /// No connection came up, or no head of an answer came in time; the request may have been heard.
+    /// The connection failed, or no response head arrived in time; the request may have been processed.
     pub fn post(&self, address: SocketAddr, path: &str, body: &str) -> Result<u16, String> {
         let limits = &*self.limits;
         let mut link = Link::open(address, limits.report_time).map_err(|e| e.to_string())?;
@@ -122,13 +133,13 @@
         let by = Instant::now() + limits.report_time;
         link.send(by).map_err(|e| format!("not sent: {e:?}"))?;
         let head = link.head(limits, by).map_err(|e| format!("{e:?}"))?;
-        // Read, for a close over unread bytes is a reset: the other end may take that for a failure of its own.
+        // The body is read because closing a socket with unread bytes sends a reset, which the peer may take for a failure.
         _ = link.body(&head, limits.body, by);
         Ok(head.status)
     }
 }
 
-/// The platform, by its own protocol.
+/// Reports to the platform by its own protocol.
 pub struct PlatformReporter {
     pub platform: Arc<Platform>,
     pub post: HttpPoster,
--- a/crates/sender/src/poll_schedule/tests.rs
+++ b/crates/sender/src/poll_schedule/tests.rs
@@ -3,13 +3,13 @@
 
 const TERM: Duration = Duration::from_secs(10);
 
-/// How discovery fares while it can't be reached, and how long a call then takes.
+/// How discovery fails during an outage, and how long a query then takes.
 #[derive(Clone, Copy, Debug)]
 enum Outage {
-    /// Nobody listens.
+    /// Connections are refused.
     Refuses,
     TurnsAway,
-    /// Calls are given up.
+    /// Queries time out.
     Silent,
 }
 
@@ -25,26 +25,26 @@
 
 const OUTAGES: [Outage; 3] = [Outage::Refuses, Outage::TurnsAway, Outage::Silent];
 
-/// Discovery works through calls one after the other, so many a second; one that has waited for longer than its patience is
-/// turned away and has cost as much as an answered one.
+/// A model of discovery: it processes queries sequentially at a fixed rate. A query that waits for longer than `PATIENCE` is rejected
+/// and costs as much as an answered one.
 struct Discovery {
     outage: Outage,
     down: std::ops::Range<f64>,
     a_second: f64,
     free: f64,
-    /// A call that would wait too long is turned away at once and costs nothing.
+    /// Whether a query that would wait too long is rejected at once and costs nothing.
     looks_ahead: bool,
 }
 
 const PATIENCE: f64 = 2.0;
 
 impl Discovery {
-    /// One that works through so many times the questions that settings ask of the fleet.
+    /// Discovery with a capacity of `times` the query rate that the settings demand of the fleet.
     fn of(senders: usize, times: f64, outage: Outage, down: std::ops::Range<f64>) -> Discovery {
         Discovery { outage, down, a_second: wanted(senders) * times, free: 0.0, looks_ahead: false }
     }
 
-    /// When the call that comes at a moment ends, and how.
+    /// When and how a query that arrives at `at` ends.
     fn call(&mut self, at: f64) -> (f64, Reply) {
         if self.down.contains(&at) {
             let (after, reply) = self.outage.reply();
@@ -59,18 +59,18 @@
     }
 }
 
-/// Questions a second that settings ask of a fleet that takes turns.
+/// Queries a second that the settings demand of a fleet that polls in turns.
 fn wanted(senders: usize) -> f64 {
     let round = QUERY_SPACING.as_secs_f64() * senders as f64;
     senders as f64 / round.min(TERM.as_secs_f64() * ROUND_SHARE_OF_TERM)
 }
 
 struct Played {
-    /// Questions in the order of time.
+    /// Times of queries, in order.
     asked: Vec<f64>,
-    /// When questions were turned away.
+    /// Times of rejected queries.
     turned_away: Vec<f64>,
-    /// How long after the outage each sender was first answered whose last question in it failed.
+    /// For each sender whose last query in the outage failed: time from the outage's end to its first answer.
     told: Vec<f64>,
 }
 
@@ -91,13 +91,13 @@
         self.told.iter().copied().fold(0.0, f64::max)
     }
 
-    /// The part of the fleet that was told within so many seconds.
+    /// The share of these senders that was answered within so many seconds.
     fn told_within(&self, seconds: f64) -> f64 {
         self.told.iter().filter(|told| **told <= seconds).count() as f64 / self.told.len() as f64
     }
 }
 
-/// Plays a fleet for so many seconds. Its senders begin within the first of them.
+/// Simulates a fleet for so many seconds. Its senders start within the first second.
 fn play(senders: usize, mut discovery: Discovery, seconds: f64) -> Played {
     let start = Instant::now();
     let at = |seconds: f64| start + Duration::from_secs_f64(seconds);
@@ -134,8 +134,8 @@
     Played { asked, turned_away, told }
 }
 
-/// A change counts as told 6 s after discovery could be reached again, to every sender whose last question failed. The
-/// service works through 1.75 times what settings ask of it: much less could not answer the fleet in that time.
+/// A change counts as published 6 s after discovery is reachable again, to every sender whose last query failed. Discovery has
+/// 1.75 times the demanded capacity: much less could not answer the fleet in that time.
 #[test]
 fn a_fleet_is_told_within_6_s_of_the_end_of_an_outage() {
     for senders in [11, 20, 39, 46, 70, 90, 100, 200, 300] {
@@ -152,7 +152,7 @@
     }
 }
 
-/// Twice as many questions as settings ask for at the most, while discovery is down and until all were answered; then as
+/// During an outage and until all are answered, a fleet sends at most twice the queries that the settings demand; afterwards as
 /// many as before, in turns as before.
 #[test]
 fn an_outage_doubles_the_questions_of_a_fleet_and_no_more() {
@@ -161,7 +161,7 @@
             let played = play(senders, Discovery::of(senders, 1.75, outage, 20.0..28.0), 70.0);
             let (before, during) = (played.busiest_second(10.0..20.0), played.busiest_second(20.0..40.0));
             let after = played.busiest_second(40.0..70.0);
-            // Senders that began in one second are not spread as evenly as one that counts all would have it.
+            // Senders that started within one second are not spread evenly, hence the tolerance.
             assert!(before as f64 <= 1.2 * wanted(senders) + 2.0, "{senders} senders: {before} in a second");
             assert!(during <= 2 * before + 2, "{senders} senders, {outage:?}: {during} in a second");
             assert!(after <= before + 1, "{senders} senders, {outage:?}: {before} before, {after} after");
@@ -169,8 +169,8 @@
     }
 }
 
-/// Where discovery can't answer all in time the questions of those that were turned away must not keep it from the rest, and
-/// the line that stood there goes. By turns alone two thirds are told in 6 s and all in 9.1 s, whatever discovery can do.
+/// If discovery cannot answer all in time, retries of rejected senders must not keep it from answering the rest, and its queue has to
+/// drain. With turns alone two thirds are answered in 6 s and all in 9.1 s, whatever the capacity of discovery.
 #[test]
 fn a_discovery_that_is_hardly_enough_is_not_kept_from_answering() {
     for senders in [100, 300] {
@@ -185,8 +185,8 @@
     }
 }
 
-/// Discovery bears hardly more than settings ask of the fleet, which is less than a small one would ask by its number: it finds that out
-/// by how long answers take, and is turned away no more.
+/// The capacity of discovery is hardly above what the settings demand, and below what a small fleet would send by its size. The fleet
+/// adapts to the response times and is no longer rejected.
 #[test]
 fn a_fleet_of_some_tens_asks_no_more_than_discovery_bears() {
     for senders in [11, 20, 32, 44, 70, 100] {
@@ -206,8 +206,8 @@
     }
 }
 
-/// A fleet that is started again at once, as after an outage of discovery that was longer than a round, asks no more in any second than
-/// it did: each in its own turn, or when the process before would have asked.
+/// A fleet that restarts all at once, as after an outage of discovery longer than a round, does not exceed its query rate in any
+/// second: each sender queries at its own turn, or when the previous process would have.
 #[test]
 fn a_fleet_that_starts_again_at_once_asks_in_turns() {
     for senders in [20, 100, 300] {
@@ -215,7 +215,7 @@
             let now = Instant::now() + Duration::from_secs(60);
             let asks = |number: usize| {
                 let mut schedule = PollSchedule::new(now, number, senders, TERM);
-                // The last answers were as far apart as the turns are.
+                // The last answers were spaced like the turns.
                 let round = wanted_round(senders);
                 schedule.resume_from(now, now - age - round.mul_f64(number as f64 / senders as f64));
                 schedule.wait(now)
@@ -238,7 +238,7 @@
     (QUERY_SPACING * senders as u32).min(TERM.mul_f64(ROUND_SHARE_OF_TERM))
 }
 
-/// The most questions that a fleet asks in any second of a minute, where every one ends `after` so long.
+/// The most queries that a fleet sends in any second of a minute if each takes `after` and ends with `reply`.
 fn busiest_second(senders: usize, after: Duration, reply: Reply) -> usize {
     let start = Instant::now();
     let mut asked: Vec<Duration> = Vec::new();
@@ -261,8 +261,8 @@
 #[test]
 fn a_fleet_asks_no_more_in_any_second_than_its_settings_ask_of_it() {
     for senders in [100, 300] {
-        // Answered at once, as while the list changes all the time, and turned away after a wait: the two storms. Turned
-        // away at once it has to ask again sooner, and by that twice as often, but not more.
+        // Two overload cases: answered at once, as while the list changes constantly, and rejected after a wait. A query rejected
+        // at once has to be retried sooner, which may double the rate but no more.
         for (after, reply, times) in [
             (1, Reply::Listed, 1.0),
             (2000, Reply::TurnedAway, 1.0),
@@ -277,8 +277,8 @@
     }
 }
 
-/// The other side of that: whatever becomes of its questions, a sender asks again in time for an answer within 6 s, unless
-/// discovery has shown that it has too much to do.
+/// However its queries fail, a sender retries in time for an answer within 6 s, unless discovery has shown that it is
+/// overloaded.
 #[test]
 fn a_failed_question_is_asked_again_in_time_for_an_answer() {
     for senders in [11, 45, 46, 100, 300, 16_000] {
@@ -305,7 +305,7 @@
         for number in [0, senders / 2, senders - 1] {
             let mut now = Instant::now();
             let mut schedule = PollSchedule::new(now, number, senders, TERM);
-            // Also where discovery answers nobody for long.
+            // This also holds while discovery fails for long.
             for turn in 0..20 {
                 let wait = schedule.wait(now);
                 assert!(wait < TERM, "{senders} senders: {wait:?} without a question");
--- a/crates/sender/src/text_journal.rs
+++ b/crates/sender/src/text_journal.rs
@@ -460,7 +460,9 @@
         }
         if !recovered.suspects.is_empty() {
             let count = recovered.suspects.len();
-            log!("{count} texts may have lost something to the damage and count as sent as often as may be");
+            log!(
+                "{count} texts may have lost notes to the damage; the largest possible number of submits is assumed"
+            );
         }
     }
 
