--- a/crates/sender/benches/owed.rs
+++ b/crates/sender/benches/owed.rs
@@ -1,8 +1,10 @@
-//! Measures the cost of a text in the journal: it is accepted, submitted once and ended, and each step is flushed before the
-//! next. Reports the time per text, the slowest flush, the recovery time, and the bytes on disk and in memory.
+//! Measures the cost of a text in the journal: it is accepted, submitted once and ended, and each step is
+//! flushed before the next. Reports the time per text, the slowest flush, the recovery time, and the bytes on
+//! disk and in memory.
 //!
-//! Run with `cargo bench -p indigomast-sender --bench owed`; it writes to a folder under the target directory. Texts have 212 bytes.
-//! Once all are held, each round ends the oldest and accepts another. Arguments give the numbers of held texts.
+//! Run with `cargo bench -p indigomast-sender --bench owed`; it writes to a folder under the target
+//! directory. Texts have 212 bytes. Once all are held, each round ends the oldest and accepts another.
+//! Arguments give the numbers of held texts.
 
 use indigomast::time::Moment;
 use indigomast_sender::limits::{Grant, Limits};
--- a/crates/sender/src/list.rs
+++ b/crates/sender/src/list.rs
@@ -131,8 +131,8 @@
     }
 }
 
-/// A source of the endpoint list, run as an actor. It publishes lists on its own or on request, and ends when the request
-/// channel is closed.
+/// A source of the endpoint list, run as an actor. It publishes lists on its own or on request, and ends when
+/// the request channel is closed.
 pub trait ListSource: Send {
     fn run(self: Box<Self>, asks: Receiver<ListRequest>, list_sink: ListSink);
 }
@@ -155,7 +155,8 @@
         self.counters.bad_lists.add(1);
     }
 
-    /// Reports stopping or deleted endpoints from a partial response, or from a response to a watch that was replaced.
+    /// Reports stopping or deleted endpoints from a partial response, or from a response to a watch that was
+    /// replaced.
     fn report_stopping(&self, members: Vec<ListedEndpoint>) {
         if !members.is_empty() {
             _ = self.decider.send(Message::Drained(members));
@@ -206,13 +207,14 @@
     /// The number of the running watch, and its connection.
     number: u64,
     stream: Option<Arc<TcpStream>>,
-    /// The last published revision and the discovery it came from: each discovery numbers revisions on its own. `None` if the
-    /// next list has to be a whole one.
+    /// The last published revision and the discovery it came from: each discovery numbers revisions on its
+    /// own. `None` if the next list has to be a whole one.
     revision: Option<(SocketAddr, u64)>,
 }
 
 impl WatchState {
-    /// Ends the running watch, if any, and returns the number of the next one. What the old one still reads is discarded.
+    /// Ends the running watch, if any, and returns the number of the next one. What the old one still reads
+    /// is discarded.
     fn replace(&mut self) -> u64 {
         self.number += 1;
         if let Some(stream) = self.stream.take() {
@@ -221,8 +223,8 @@
         self.number
     }
 
-    /// Marks this watch as idle, without a connection to shut down, and returns whether it is still the running one. If it was
-    /// replaced, the stored connection belongs to its successor and is left alone.
+    /// Marks this watch as idle, without a connection to shut down, and returns whether it is still the
+    /// running one. If it was replaced, the stored connection belongs to its successor and is left alone.
     fn mark_idle(&mut self, number: u64) -> bool {
         let runs = self.number == number;
         if runs {
@@ -306,7 +308,8 @@
 }
 
 impl DiscoveryClient {
-    /// Publishes under the lock on the running watch, so that a replaced watch has either published before or not at all.
+    /// Publishes under the lock on the running watch, so that a replaced watch has either published before or
+    /// not at all.
     fn publish(&self, running: &mut WatchState, address: SocketAddr, listing: EndpointList) {
         running.revision = Some((address, listing.revision));
         self.list_sink.publish(Some(listing));
@@ -404,12 +407,13 @@
             let hold = if short_hold { self.limits.watch_probe } else { self.limits.watch_hold };
             let asked = self.query(number, watches.then_some(hold));
             short_hold = asked.is_err();
-            // A watch that was ended or replaced publishes nothing more. The lock keeps it from being replaced while it
-            // publishes: its revision would be taken for one of the next watch's discovery.
+            // A watch that was ended or replaced publishes nothing more. The lock keeps it from being
+            // replaced while it publishes: its revision would be taken for one of the next watch's discovery.
             let mut running = self.watch_state();
             if !running.mark_idle(number) {
                 drop(running);
-                // Stopping endpoints are still reported: this sender was told of them, and no discovery revokes that.
+                // Stopping endpoints are still reported: this sender was told of them, and no discovery
+                // revokes that.
                 let members = asked.map_or_else(|_| Vec::new(), |(_, listing)| listing.members);
                 let drains = |member: &ListedEndpoint| member.condition != Condition::Running;
                 return self.list_sink.report_stopping(members.into_iter().filter(drains).collect());
@@ -432,7 +436,8 @@
                     // The query is repeated on its own; the list in force stays.
                     self.list_sink.count_failure();
                     if watches {
-                        // Time already spent counts towards the pause: changes made meanwhile count as published by now.
+                        // Time already spent counts towards the pause: changes made meanwhile count as
+                        // published by now.
                         thread::sleep(self.limits.watch_pause.saturating_sub(since.elapsed()));
                     }
                 }
@@ -460,8 +465,8 @@
         );
     }
 
-    /// Sends one query and records it in the account: for changes if `hold` is given and a revision is known, else for the
-    /// whole list. A failure carries the kind of reply for the schedule.
+    /// Sends one query and records it in the account: for changes if `hold` is given and a revision is known,
+    /// else for the whole list. A failure carries the kind of reply for the schedule.
     fn query(
         &self,
         watch: u64,
@@ -474,8 +479,8 @@
         listing
     }
 
-    /// Sends one query on a connection of its own: responses do not identify their query, and a duplicate of an earlier one
-    /// would confirm a list that may have changed since.
+    /// Sends one query on a connection of its own: responses do not identify their query, and a duplicate of
+    /// an earlier one would confirm a list that may have changed since.
     fn send_query(
         &self,
         watch: u64,
@@ -530,8 +535,8 @@
         Ok((address, listing))
     }
 
-    /// Reads the whole body of a response. Stopping endpoints in the part received so far are reported at once: they are valid
-    /// whether or not the rest arrives.
+    /// Reads the whole body of a response. Stopping endpoints in the part received so far are reported at
+    /// once: they are valid whether or not the rest arrives.
     fn body(&self, open: &mut Link, head: &AnswerHead, by: Instant) -> Result<Vec<u8>, Fault> {
         let mut scanned = 0;
         loop {
@@ -561,7 +566,8 @@
     }
 }
 
-/// Connects to discovery. A lost SYN is retransmitted only after a second, so a second connection is tried before that.
+/// Connects to discovery. A lost SYN is retransmitted only after a second, so a second connection is tried
+/// before that.
 fn connect(address: SocketAddr, limits: &Limits) -> io::Result<Link> {
     match Link::open(address, limits.connect_list_first) {
         Err(e) if e.kind() == ErrorKind::TimedOut => Link::open(address, limits.connect_list),
--- a/crates/sender/src/list/tests.rs
+++ b/crates/sender/src/list/tests.rs
@@ -2,8 +2,8 @@
 use std::io::Read;
 use std::net::TcpListener;
 
-/// A watch that was replaced while it published or waited becomes idle only after its successor has a connection. It must not
-/// clear the successor's connection.
+/// A watch that was replaced while it published or waited becomes idle only after its successor has a
+/// connection. It must not clear the successor's connection.
 #[test]
 fn a_watch_that_was_replaced_leaves_its_successors_connection_alone() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
--- a/crates/sender/src/list_file.rs
+++ b/crates/sender/src/list_file.rs
@@ -1,8 +1,9 @@
 //! The last endpoint list of a sender, saved for the next start.
 //!
-//! The list that a process is started with may be older than the last one that the previous process received, and endpoints that
-//! stopped in between must not be called. So the state folder keeps the names of the running endpoints and the time of that
-//! list. An endpoint that is not among them is used again only once a newer list says that it runs.
+//! The list that a process is started with may be older than the last one that the previous process received,
+//! and endpoints that stopped in between must not be called. So the state folder keeps the names of the
+//! running endpoints and the time of that list. An endpoint that is not among them is used again only once a
+//! newer list says that it runs.
 
 use crate::list::ListedEndpoint;
 use crate::log;
@@ -22,8 +23,8 @@
 const FILE: &str = "list";
 /// The first line, with the format's version.
 const HEADER: &str = "indigomast-list 1";
-/// Longest list of names in bytes. A longer one is saved without names; the next process then starts from the list that it receives
-/// itself.
+/// Longest list of names in bytes. A longer one is saved without names; the next process then starts from the
+/// list that it receives itself.
 const MAX_NAMES_BYTES: usize = 64 << 10;
 
 /// What one process saves for the next.
@@ -76,8 +77,8 @@
         replace(folder, FILE, format!("{HEADER}\n{body}sum {sum:08x}\n").as_bytes(), Lasting::Process)
     }
 
-    /// Marks the endpoints of a list that were not running in this one as stopping, unless that list is newer. Returns whether
-    /// this changed any.
+    /// Marks the endpoints of a list that were not running in this one as stopping, unless that list is
+    /// newer. Returns whether this changed any.
     pub fn stop_missing(&self, members: &mut [ListedEndpoint], revision: u64, source: SocketAddr) -> bool {
         if source == self.received_from && revision > self.revision {
             return false;
@@ -124,7 +125,8 @@
         self.last.revision = revision;
     }
 
-    /// Records as of when the list is complete and whether a query has failed since. Returns whether that has to be saved.
+    /// Records as of when the list is complete and whether a query has failed since. Returns whether that has
+    /// to be saved.
     pub fn record_confirmation(&mut self, as_of: Moment, failed: bool) -> bool {
         let changed = as_of > self.last.as_of || (failed && !self.last.failed);
         if changed {
--- a/crates/sender/src/notices.rs
+++ b/crates/sender/src/notices.rs
@@ -1,4 +1,5 @@
-//! The actor that reports failed texts to the platform or another configured receiver, and retries until each report is answered.
+//! The actor that reports failed texts to the platform or another configured receiver, and retries until each
+//! report is answered.
 
 use crate::decider::Message;
 use crate::http;
@@ -58,7 +59,8 @@
 pub enum ReportResponse {
     /// All were accepted.
     Accepted,
-    /// The receiver cannot parse at least one of them. A batch is then sent one by one, and an unreadable one is dropped.
+    /// The receiver cannot parse at least one of them. A batch is then sent one by one, and an unreadable one
+    /// is dropped.
     Unreadable,
 }
 
@@ -79,8 +81,8 @@
         }
     }
 
-    /// Sends a batch until it is answered. A lost or late answer leaves the outcome unknown, and a duplicate notice is harmless,
-    /// so the batch is sent again.
+    /// Sends a batch until it is answered. A lost or late answer leaves the outcome unknown, and a duplicate
+    /// notice is harmless, so the batch is sent again.
     fn send_until_answered(&mut self, batch: Vec<Notice>) {
         let mut pause = self.limits.report_pause;
         loop {
@@ -108,8 +110,8 @@
     }
 }
 
-/// Sends POST requests, each on a connection of its own: responses do not identify their request, so a duplicate would be taken for
-/// the response to the next one.
+/// Sends POST requests, each on a connection of its own: responses do not identify their request, so a
+/// duplicate would be taken for the response to the next one.
 pub struct HttpPoster {
     limits: Arc<Limits>,
 }
@@ -133,7 +135,8 @@
         let by = Instant::now() + limits.report_time;
         link.send(by).map_err(|e| format!("not sent: {e:?}"))?;
         let head = link.head(limits, by).map_err(|e| format!("{e:?}"))?;
-        // The body is read because closing a socket with unread bytes sends a reset, which the peer may take for a failure.
+        // The body is read because closing a socket with unread bytes sends a reset, which the peer may take
+        // for a failure.
         _ = link.body(&head, limits.body, by);
         Ok(head.status)
     }
--- a/crates/sender/src/poll_schedule.rs
+++ b/crates/sender/src/poll_schedule.rs
@@ -1,39 +1,42 @@
 //! When a sender queries discovery for the list, and whether it watches or polls. No I/O.
 //!
-//! Discovery is one service that processes the queries of all senders one after the other, and a query that times out costs it as
-//! much as an answered one. A fleet that retries as soon as it is answered or rejected can keep discovery overloaded. A small
-//! fleet watches. In a large one each sender polls once per round of the whole fleet, at its own turn. It does not watch: a
-//! change would end all watches at once, and a change in the moment after that counts as published to a sender that has
-//! begun to pause.
+//! Discovery is one service that processes the queries of all senders one after the other, and a query that
+//! times out costs it as much as an answered one. A fleet that retries as soon as it is answered or rejected
+//! can keep discovery overloaded. A small fleet watches. In a large one each sender polls once per round of
+//! the whole fleet, at its own turn. It does not watch: a change would end all watches at once, and a change
+//! in the moment after that counts as published to a sender that has begun to pause.
 //!
-//! The capacity of discovery is not known, but since it processes queries sequentially, the response time shows how long a
-//! round of the whole fleet has to be. A fleet whose own round is shorter uses that round instead.
+//! The capacity of discovery is not known, but since it processes queries sequentially, the response time
+//! shows how long a round of the whole fleet has to be. A fleet whose own round is shorter uses that round
+//! instead.
 //!
-//! A change counts as published to a sender whose last query failed some seconds after discovery had it and was reachable. So a
-//! failed query is retried within that time, less the response time. Two signs show that discovery is up but overloaded, where
-//! earlier retries would keep it so: it rejected a query after a wait, or several queries in a row timed out. Then a sender
-//! waits for a round or longer. A sender that was answered outside of its turn returns to it; otherwise all senders would query
-//! together once per round from then on.
+//! A change counts as published to a sender whose last query failed some seconds after discovery had it and
+//! was reachable. So a failed query is retried within that time, less the response time. Two signs show that
+//! discovery is up but overloaded, where earlier retries would keep it so: it rejected a query after a wait,
+//! or several queries in a row timed out. Then a sender waits for a round or longer. A sender that was
+//! answered outside of its turn returns to it; otherwise all senders would query together once per round from
+//! then on.
 
 use std::time::{Duration, Instant};
 
 /// Interval between the queries of a fleet, unless the settings demand a shorter round.
 const QUERY_SPACING: Duration = Duration::from_millis(100);
-/// A fleet whose round is longer than this polls in turns: if all its senders watched, queries would wait longer than discovery
-/// lets them.
+/// A fleet whose round is longer than this polls in turns: if all its senders watched, queries would wait
+/// longer than discovery lets them.
 const TURNS_FROM_ROUND: Duration = Duration::from_millis(1000);
 /// Upper bound of a round as a share of the longest allowed interval between queries.
 const ROUND_SHARE_OF_TERM: f64 = 0.9;
 /// After discovery moved, it is queried within this share of that interval.
 const RESTART_SHARE_OF_TERM: f64 = 0.2;
-/// Upper bound of the delay before a failed query is retried: a change counts as published to that sender 6 s after discovery had
-/// it and was reachable, and a response takes up to 1.5 s of these while the whole fleet retries at this rate.
+/// Upper bound of the delay before a failed query is retried: a change counts as published to that sender 6 s
+/// after discovery had it and was reachable, and a response takes up to 1.5 s of these while the whole fleet
+/// retries at this rate.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(4500);
-/// First retry delay of a fleet that can send all its queries within `MAX_RETRY_DELAY`. The delay grows with each failure. It is short
-/// because a sender whose list lease has expired holds back all its texts.
+/// First retry delay of a fleet that can send all its queries within `MAX_RETRY_DELAY`. The delay grows with
+/// each failure. It is short because a sender whose list lease has expired holds back all its texts.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(1000);
-/// Growth of the pause while discovery is overloaded, up to the longest allowed interval between queries, or up to
-/// `MAX_PAUSE_ROUNDS` rounds if the settings give none.
+/// Growth of the pause while discovery is overloaded, up to the longest allowed interval between queries, or
+/// up to `MAX_PAUSE_ROUNDS` rounds if the settings give none.
 const BACKOFF_FACTOR: f64 = 1.5;
 const MAX_PAUSE_ROUNDS: f64 = 3.0;
 /// A query rejected after at least this long was queued at discovery.
@@ -79,8 +82,8 @@
 }
 
 impl PollSchedule {
-    /// The schedule of sender `number` of `senders`, which may not go without a query for longer than `term` (zero if it need
-    /// not query).
+    /// The schedule of sender `number` of `senders`, which may not go without a query for longer than `term`
+    /// (zero if it need not query).
     pub fn new(now: Instant, number: usize, senders: usize, term: Duration) -> PollSchedule {
         let senders = senders.max(1);
         let wanted = QUERY_SPACING * senders.min(100_000) as u32;
@@ -107,8 +110,8 @@
         }
     }
 
-    /// Continues the round of the previous process, whose last query was at `asked`. If that round is over, the sender keeps its own
-    /// turn, since a fleet that restarts at once would otherwise query all together.
+    /// Continues the round of the previous process, whose last query was at `asked`. If that round is over,
+    /// the sender keeps its own turn, since a fleet that restarts at once would otherwise query all together.
     pub fn resume_from(&mut self, now: Instant, asked: Instant) {
         let due = asked + self.round;
         if !self.watches && due > now {
@@ -166,7 +169,8 @@
         self.next = self.asked + pause;
     }
 
-    /// A round in which discovery can serve the whole fleet, assuming that each query waits for one other that takes as long.
+    /// A round in which discovery can serve the whole fleet, assuming that each query waits for one other
+    /// that takes as long.
     fn sustainable_round(&self, now: Instant) -> Duration {
         let took = now.saturating_duration_since(self.asked);
         (took * self.senders / 2).clamp(self.shortest, self.longest.max(self.shortest))
@@ -188,7 +192,8 @@
         if left < self.round.mul_f64(MIN_GAP) { (left + self.round) / 2 } else { left }
     }
 
-    /// Schedules a query soon after discovery moved. All senders learn of it at once, so their queries are spread by phase.
+    /// Schedules a query soon after discovery moved. All senders learn of it at once, so their queries are
+    /// spread by phase.
     pub fn restart_soon(&mut self, now: Instant, term: Duration) {
         if self.watches {
             return;
--- a/crates/sender/src/poll_schedule/tests.rs
+++ b/crates/sender/src/poll_schedule/tests.rs
@@ -25,8 +25,8 @@
 
 const OUTAGES: [Outage; 3] = [Outage::Refuses, Outage::TurnsAway, Outage::Silent];
 
-/// A model of discovery: it processes queries sequentially at a fixed rate. A query that waits for longer than `PATIENCE` is rejected
-/// and costs as much as an answered one.
+/// A model of discovery: it processes queries sequentially at a fixed rate. A query that waits for longer
+/// than `PATIENCE` is rejected and costs as much as an answered one.
 struct Discovery {
     outage: Outage,
     down: std::ops::Range<f64>,
@@ -134,8 +134,8 @@
     Played { asked, turned_away, told }
 }
 
-/// A change counts as published 6 s after discovery is reachable again, to every sender whose last query failed. Discovery has
-/// 1.75 times the demanded capacity: much less could not answer the fleet in that time.
+/// A change counts as published 6 s after discovery is reachable again, to every sender whose last query
+/// failed. Discovery has 1.75 times the demanded capacity: much less could not answer the fleet in that time.
 #[test]
 fn a_fleet_is_told_within_6_s_of_the_end_of_an_outage() {
     for senders in [11, 20, 39, 46, 70, 90, 100, 200, 300] {
@@ -152,8 +152,8 @@
     }
 }
 
-/// During an outage and until all are answered, a fleet sends at most twice the queries that the settings demand; afterwards as
-/// many as before, in turns as before.
+/// During an outage and until all are answered, a fleet sends at most twice the queries that the settings
+/// demand; afterwards as many as before, in turns as before.
 #[test]
 fn an_outage_doubles_the_questions_of_a_fleet_and_no_more() {
     for senders in [100, 200, 300, 16_000] {
@@ -169,8 +169,9 @@
     }
 }
 
-/// If discovery cannot answer all in time, retries of rejected senders must not keep it from answering the rest, and its queue has to
-/// drain. With turns alone two thirds are answered in 6 s and all in 9.1 s, whatever the capacity of discovery.
+/// If discovery cannot answer all in time, retries of rejected senders must not keep it from answering the
+/// rest, and its queue has to drain. With turns alone two thirds are answered in 6 s and all in 9.1 s,
+/// whatever the capacity of discovery.
 #[test]
 fn a_discovery_that_is_hardly_enough_is_not_kept_from_answering() {
     for senders in [100, 300] {
@@ -185,8 +186,8 @@
     }
 }
 
-/// The capacity of discovery is hardly above what the settings demand, and below what a small fleet would send by its size. The fleet
-/// adapts to the response times and is no longer rejected.
+/// The capacity of discovery is hardly above what the settings demand, and below what a small fleet would
+/// send by its size. The fleet adapts to the response times and is no longer rejected.
 #[test]
 fn a_fleet_of_some_tens_asks_no_more_than_discovery_bears() {
     for senders in [11, 20, 32, 44, 70, 100] {
@@ -206,8 +207,9 @@
     }
 }
 
-/// A fleet that restarts all at once, as after an outage of discovery longer than a round, does not exceed its query rate in any
-/// second: each sender queries at its own turn, or when the previous process would have.
+/// A fleet that restarts all at once, as after an outage of discovery longer than a round, does not exceed
+/// its query rate in any second: each sender queries at its own turn, or when the previous process would
+/// have.
 #[test]
 fn a_fleet_that_starts_again_at_once_asks_in_turns() {
     for senders in [20, 100, 300] {
@@ -261,8 +263,8 @@
 #[test]
 fn a_fleet_asks_no_more_in_any_second_than_its_settings_ask_of_it() {
     for senders in [100, 300] {
-        // Two overload cases: answered at once, as while the list changes constantly, and rejected after a wait. A query rejected
-        // at once has to be retried sooner, which may double the rate but no more.
+        // Two overload cases: answered at once, as while the list changes constantly, and rejected after a
+        // wait. A query rejected at once has to be retried sooner, which may double the rate but no more.
         for (after, reply, times) in [
             (1, Reply::Listed, 1.0),
             (2000, Reply::TurnedAway, 1.0),
@@ -277,8 +279,8 @@
     }
 }
 
-/// However its queries fail, a sender retries in time for an answer within 6 s, unless discovery has shown that it is
-/// overloaded.
+/// However its queries fail, a sender retries in time for an answer within 6 s, unless discovery has shown
+/// that it is overloaded.
 #[test]
 fn a_failed_question_is_asked_again_in_time_for_an_answer() {
     for senders in [11, 45, 46, 100, 300, 16_000] {
--- a/crates/sender/src/text_journal.rs
+++ b/crates/sender/src/text_journal.rs
@@ -1,8 +1,9 @@
 //! The durable journal of accepted texts and of the submits sent for them.
 //!
-//! Each text is an item of an [`indigomast_journal`]: opened when the text is accepted, annotated on each submit, and closed
-//! when no delivery and no report is outstanding. The state of all open items is also held in memory. Notes are idempotent,
-//! so replaying one twice is harmless. The format is documented in `docs/journal.md`.
+//! Each text is an item of an [`indigomast_journal`]: opened when the text is accepted, annotated on each
+//! submit, and closed when no delivery and no report is outstanding. The state of all open items is also held
+//! in memory. Notes are idempotent, so replaying one twice is harmless. The format is documented in
+//! `docs/journal.md`.
 
 use crate::limits::Limits;
 use crate::log;
@@ -29,8 +30,8 @@
 const NEVER_RAN: u8 = 2;
 const ENDED: u8 = 3;
 
-/// A wall clock that lags the newest recorded time by no more than this does not count as set back. It is far below the margin
-/// kept before a receiver's deduplication memory expires, which may be one second in all.
+/// A wall clock that lags the newest recorded time by no more than this does not count as set back. It is far
+/// below the margin kept before a receiver's deduplication memory expires, which may be one second in all.
 const CLOCK_SLACK_MS: f64 = 50.0;
 
 /// Send time assumed for a submit that is known to have been sent, but not when.
@@ -146,8 +147,8 @@
         sent.fold(self.taken_ms, f64::max)
     }
 
-    /// Shifts the acceptance time and the deadline. The age of earlier submits is unknown afterwards: the receiver's
-    /// deduplication memory of them may have expired.
+    /// Shifts the acceptance time and the deadline. The age of earlier submits is unknown afterwards: the
+    /// receiver's deduplication memory of them may have expired.
     fn shift_times(&mut self, by_ms: f64) {
         self.taken_ms += by_ms;
         self.info.until_ms += by_ms;
@@ -177,7 +178,8 @@
     until_ms: f64,
 }
 
-/// Prefix of items that are not texts. A text starts with its acceptance time as a float, and these bytes are a NaN.
+/// Prefix of items that are not texts. A text starts with its acceptance time as a float, and these bytes are
+/// a NaN.
 const NON_TEXT_PREFIX: [u8; 8] = [0xff; 8];
 
 /// A record that the journal keeps beside the texts.
@@ -334,8 +336,9 @@
     })
 }
 
-/// Rewrites the live records of a journal that no process uses and frees the rest. Returns the bytes of all segments before and
-/// after. A damaged journal is left unchanged, since the damaged part may still be needed.
+/// Rewrites the live records of a journal that no process uses and frees the rest. Returns the bytes of all
+/// segments before and after. A damaged journal is left unchanged, since the damaged part may still be
+/// needed.
 pub fn compact(path: &Path) -> io::Result<(u64, u64)> {
     let looked = read_contents(path)?;
     if !looked.recovered.damage.is_empty() || looked.recovered.manifest_lost || looked.unreadable > 0 {
@@ -414,7 +417,8 @@
         let (records, recovered) =
             Journal::open(store, settings, number, &mut |key, entry| state.apply(key, entry))?;
         if state.unreadable > 0 {
-            // Their checksums are valid, so another version of the program wrote them and may still need them.
+            // Their checksums are valid, so another version of the program wrote them and may still need
+            // them.
             let what = format!("{} sound records can't be read by this program", state.unreadable);
             return Err(io::Error::new(ErrorKind::InvalidData, what));
         }
@@ -466,8 +470,8 @@
         }
     }
 
-    /// Assumes the worst of texts whose notes may have been lost: as many submits as the lost bytes can have recorded, and that
-    /// one may have run at any time since the text was accepted.
+    /// Assumes the worst of texts whose notes may have been lost: as many submits as the lost bytes can have
+    /// recorded, and that one may have run at any time since the text was accepted.
     fn apply_losses(&mut self, recovered: &Recovered, most: usize) {
         let lost = recovered.most_lost(MIN_SUBMIT_NOTE).map_or(most, |lost| lost.min(most as u64) as usize);
         for key in &recovered.suspects {
@@ -482,10 +486,11 @@
         }
     }
 
-    /// Corrects for a wall clock that was set back between two runs, which would let texts outlive their validity period. All
-    /// times are moved back by the distance from now to the newest recorded time. That is a lower bound of the step, so submits
-    /// in doubt are older than they seem and count as arbitrarily old. A clock set forward looks like a long downtime; one set
-    /// back by less than the downtime cannot be detected.
+    /// Corrects for a wall clock that was set back between two runs, which would let texts outlive their
+    /// validity period. All times are moved back by the distance from now to the newest recorded time. That
+    /// is a lower bound of the step, so submits in doubt are older than they seem and count as arbitrarily
+    /// old. A clock set forward looks like a long downtime; one set back by less than the downtime cannot be
+    /// detected.
     fn correct_clock_step(&mut self, now: Moment) -> io::Result<()> {
         let newest = self.outstanding.values().map(OutstandingText::latest_ms).fold(f64::MIN, f64::max);
         let ahead = newest - now.as_millis();
@@ -502,8 +507,8 @@
         Ok(())
     }
 
-    /// Imports the outstanding texts of the previous format's log. Texts that an interrupted earlier start has imported are
-    /// skipped.
+    /// Imports the outstanding texts of the previous format's log. Texts that an interrupted earlier start
+    /// has imported are skipped.
     fn import(&mut self, imported: Vec<ImportedText>, now: Moment) -> io::Result<usize> {
         let known: BTreeMap<String, usize> =
             self.outstanding.iter().map(|(text, owed)| (owed.info.id.clone(), *text)).collect();
@@ -635,7 +640,8 @@
         self.kept.values()
     }
 
-    /// Adds a record beside the texts; returns whether there was room. It is durable only after the next flush.
+    /// Adds a record beside the texts; returns whether there was room. It is durable only after the next
+    /// flush.
     pub fn add_auxiliary(&mut self, kept: AuxiliaryRecord) -> bool {
         if self.kept.values().any(|other| *other == kept) {
             return true;
@@ -669,8 +675,8 @@
         self.reserve = self.reserve.max(reserve);
     }
 
-    /// Whether the next start may recover a text although the last flush failed. If so, its client must not be told that
-    /// resending is harmless.
+    /// Whether the next start may recover a text although the last flush failed. If so, its client must not
+    /// be told that resending is harmless.
     pub fn may_be_recovered(&self, text: usize) -> bool {
         self.records.may_be_found(Key(text as u64))
     }
@@ -686,8 +692,8 @@
     encode(owed, Vec::new()).len() as u64
 }
 
-/// The longest possible payload for texts whose bodies, names, products and zones have at most this many bytes, including
-/// the submit history.
+/// The longest possible payload for texts whose bodies, names, products and zones have at most this many
+/// bytes, including the submit history.
 pub fn longest_payload(body: usize, name: usize, product: usize, zone: usize) -> usize {
     // Lengths, times and option tags take up to 80 bytes.
     body + 3 * name + product + 2 * zone + 80
--- a/crates/sender/src/texts_log.rs
+++ b/crates/sender/src/texts_log.rs
@@ -1,7 +1,7 @@
 //! Reads `texts.log`, the format that preceded the journal, once: at the first start with a journal.
 //!
-//! A record is its length and checksum, then a line of JSON and, for an accepted text, its body. Everything after the first
-//! incomplete record was never confirmed as durable and is dropped.
+//! A record is its length and checksum, then a line of JSON and, for an accepted text, its body. Everything
+//! after the first incomplete record was never confirmed as durable and is dropped.
 
 use crate::log;
 use crate::text_journal::{JournaledSubmits, Report, TextInfo};
