--- a/crates/journal/src/format.rs
+++ b/crates/journal/src/format.rs
@@ -127,7 +127,7 @@
 
 /// What a file says of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum SegmentHead {
     Segment {
         journal: u64,
         segment: u64,
@@ -139,7 +139,7 @@
     Nothing,
 }
 
-pub fn read_segment_head(bytes: &[u8]) -> Said {
+pub fn read_segment_head(bytes: &[u8]) -> SegmentHead {
     let sound = |bytes: &[u8]| {
         let (version, journal, segment) = (word(bytes, 8)?, long(bytes, 12)?, long(bytes, 20)?);
         if bytes[..8] != MAGIC {
@@ -147,18 +147,18 @@
         }
         // Whatever a newer format has behind its version, it is told apart from damage by these two alone.
         if version > VERSION {
-            return Some(Said::Newer(version));
+            return Some(SegmentHead::Newer(version));
         }
         let sum = word(bytes, SEGMENT_HEAD - 4)?;
         let (before, next) = (long(bytes, 28)?, long(bytes, 36)?);
-        (sum == crc32fast::hash(&bytes[..SEGMENT_HEAD - 4])).then_some(Said::Segment {
+        (sum == crc32fast::hash(&bytes[..SEGMENT_HEAD - 4])).then_some(SegmentHead::Segment {
             journal,
             segment,
             before,
             next,
         })
     };
-    sound(bytes).unwrap_or(Said::Nothing)
+    sound(bytes).unwrap_or(SegmentHead::Nothing)
 }
 
 /// Which segments count: those from `first` on.
@@ -176,9 +176,9 @@
 
     pub fn read(bytes: &[u8]) -> Result<Option<Manifest>, u32> {
         match read_segment_head(bytes) {
-            Said::Segment { journal, segment, .. } => Ok(Some(Manifest { journal, first: segment })),
-            Said::Newer(version) => Err(version),
-            Said::Nothing => Ok(None),
+            SegmentHead::Segment { journal, segment, .. } => Ok(Some(Manifest { journal, first: segment })),
+            SegmentHead::Newer(version) => Err(version),
+            SegmentHead::Nothing => Ok(None),
         }
     }
 }
--- a/crates/journal/src/format/tests.rs
+++ b/crates/journal/src/format/tests.rs
@@ -32,12 +32,15 @@
 fn a_file_says_what_it_is() {
     let head = segment_head(7, 3, 96, 5);
     assert_eq!(head.len(), SEGMENT_HEAD);
-    assert_eq!(read_segment_head(&head), Said::Segment { journal: 7, segment: 3, before: 96, next: 5 });
+    assert_eq!(
+        read_segment_head(&head),
+        SegmentHead::Segment { journal: 7, segment: 3, before: 96, next: 5 }
+    );
     let mut newer = head.clone();
     newer[8] = 2;
-    assert_eq!(read_segment_head(&newer), Said::Newer(2));
+    assert_eq!(read_segment_head(&newer), SegmentHead::Newer(2));
     for wrong in [&head[..20], b"", b"{\"Taken\":1}\n, and so on and so on and on"] {
-        assert_eq!(read_segment_head(wrong), Said::Nothing);
+        assert_eq!(read_segment_head(wrong), SegmentHead::Nothing);
     }
     let manifest = Manifest { journal: 1, first: 9 };
     assert_eq!(Manifest::read(&manifest.bytes()), Ok(Some(manifest)));
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -1,7 +1,8 @@
 //! Appending, committing, compacting and recovering.
 
 use crate::format::{
-    self, Kind, Manifest, Place, RECORD_HEAD, SEGMENT_HEAD, Said, put_record, read_segment_head, take_head,
+    self, Kind, Manifest, Place, RECORD_HEAD, SEGMENT_HEAD, SegmentHead, put_record, read_segment_head,
+    take_head,
 };
 use crate::store::Store;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -128,7 +129,7 @@
 
 /// Repairs that recovery has to make before the journal is written to.
 #[derive(Default)]
-struct Mending {
+struct Repairs {
     /// Behind so many bytes of the newest segment.
     cut: Option<u64>,
     void: Vec<u64>,
@@ -186,7 +187,7 @@
     file: Option<S::File>,
     items: BTreeMap<Key, Item>,
     /// Open items by the segment of their base.
-    based: BTreeMap<u64, BTreeSet<Key>>,
+    keys_by_base: BTreeMap<u64, BTreeSet<Key>>,
     next: u64,
     held: u64,
     waiting: Vec<Record>,
@@ -196,9 +197,9 @@
     sound: u64,
     synced_at: Duration,
     /// The newest segment can't be trusted to end where it should: the next record goes to another.
-    spoilt: bool,
+    needs_new_segment: bool,
     /// What the last commit wrote of its records may be there still, though it failed.
-    uncut: bool,
+    may_hold_failed_write: bool,
     /// The manifest names an earlier segment than the first that counts.
     manifest_behind: bool,
 }
@@ -250,12 +251,12 @@
         seen: &mut dyn FnMut(Key, Entry),
     ) -> io::Result<(Journal<S>, Recovered)> {
         settings.check()?;
-        let (mut journal, recovered, mending) = Journal::scan(store, settings, number, seen)?;
-        if let Some(length) = mending.cut {
+        let (mut journal, recovered, repairs) = Journal::scan(store, settings, number, seen)?;
+        if let Some(length) = repairs.cut {
             let file = journal.file.as_mut().expect("the newest was read last");
             journal.store.truncate(file, length)?;
         }
-        for segment in mending.void {
+        for segment in repairs.void {
             journal.store.remove(&segment_name(segment))?;
         }
         if let Some(file) =
@@ -265,11 +266,11 @@
             journal.store.sync(file)?;
             journal.store.sync_names()?;
         }
-        if mending.needs_manifest {
+        if repairs.needs_manifest {
             journal.write_manifest(journal.first)?;
         }
         // Left over from a crash between the manifest and the removal.
-        for old in mending.old {
+        for old in repairs.old {
             journal.store.remove(&segment_name(old))?;
         }
         Ok((journal, recovered))
@@ -291,7 +292,7 @@
         settings: Settings,
         number: u64,
         seen: &mut dyn FnMut(Key, Entry),
-    ) -> io::Result<(Journal<S>, Recovered, Mending)> {
+    ) -> io::Result<(Journal<S>, Recovered, Repairs)> {
         let names = store.list()?;
         let manifest = match names.iter().any(|name| name == MANIFEST) {
             false => None,
@@ -310,7 +311,7 @@
             let mut file = store.open(&segment_name(at))?;
             let bytes = read_at_most(&mut store, &mut file, SEGMENT_HEAD)?;
             match read_segment_head(&bytes) {
-                Said::Segment { journal, segment, before, next } if segment == at => {
+                SegmentHead::Segment { journal, segment, before, next } if segment == at => {
                     said = said.or(Some(journal));
                     if manifest.is_none_or(|manifest| manifest.journal == journal) {
                         newest = newest.max(next);
@@ -318,7 +319,9 @@
                     }
                 }
                 // Under a manifest of this format it is damage.
-                Said::Newer(version) if manifest.is_none() => return Err(newer(&segment_name(at), version)),
+                SegmentHead::Newer(version) if manifest.is_none() => {
+                    return Err(newer(&segment_name(at), version));
+                }
                 _ => {}
             }
         }
@@ -333,43 +336,44 @@
             used: 0,
             file: None,
             items: BTreeMap::new(),
-            based: BTreeMap::new(),
+            keys_by_base: BTreeMap::new(),
             next: newest,
             held: 0,
             waiting: Vec::new(),
             unsynced: Vec::new(),
             sound: 0,
             synced_at: Duration::ZERO,
-            spoilt: false,
-            uncut: false,
+            needs_new_segment: false,
+            may_hold_failed_write: false,
             manifest_behind: false,
         };
         let mut recovered =
             Recovered { manifest_lost: manifest.is_none() && !found.is_empty(), ..Recovered::default() };
-        let mut mending = Mending { needs_manifest: manifest.is_none(), ..Mending::default() };
-        mending.old.extend(found.range(..first));
+        let mut repairs = Repairs { needs_manifest: manifest.is_none(), ..Repairs::default() };
+        repairs.old.extend(found.range(..first));
         // Where damage lies, by segment: whoever began before may have lost something to it.
-        let mut hurt: Vec<u64> = Vec::new();
+        let mut damaged_segments: Vec<u64> = Vec::new();
         let mut expected = first;
         for at in found.range(first..).copied().collect::<Vec<_>>() {
             if at > expected {
                 recovered.damage.push(Damage { segment: expected, offset: 0, bytes: 0 });
-                hurt.push(expected);
+                damaged_segments.push(expected);
             }
             expected = at + 1;
             let last = Some(&at) == found.last();
             let end = ends.get(&at).copied();
-            journal.recover(at, end, last, &mut recovered, &mut hurt, &mut mending, seen)?;
+            journal.recover(at, end, last, &mut recovered, &mut damaged_segments, &mut repairs, seen)?;
         }
-        for hurt in hurt {
-            let before = journal.based.range(..=hurt).flat_map(|(_, keys)| keys.iter().copied());
+        for damaged_segments in damaged_segments {
+            let before =
+                journal.keys_by_base.range(..=damaged_segments).flat_map(|(_, keys)| keys.iter().copied());
             recovered.suspects.extend(before);
         }
         recovered.suspects.sort();
         recovered.suspects.dedup();
         recovered.segments = journal.segments.len();
         journal.sound = journal.segments.back().map_or(0, |segment| segment.bytes);
-        Ok((journal, recovered, mending))
+        Ok((journal, recovered, repairs))
     }
 
     /// `end` is how long the segment is said to be by the one behind it.
@@ -380,8 +384,8 @@
         end: Option<u64>,
         is_last: bool,
         recovered: &mut Recovered,
-        hurt: &mut Vec<u64>,
-        mending: &mut Mending,
+        damaged_segments: &mut Vec<u64>,
+        repairs: &mut Repairs,
         seen: &mut dyn FnMut(Key, Entry),
     ) -> io::Result<()> {
         let mut file = self.store.open(&segment_name(segment))?;
@@ -389,7 +393,9 @@
         let most = end.unwrap_or(self.settings.segment.max(LONGEST_SEGMENT));
         let bytes = read_at_most(&mut self.store, &mut file, most.min(usize::MAX as u64) as usize)?;
         let mut at = match read_segment_head(&bytes) {
-            Said::Segment { journal, segment: said, .. } if journal == self.number && said == segment => {
+            SegmentHead::Segment { journal, segment: said, .. }
+                if journal == self.number && said == segment =>
+            {
                 SEGMENT_HEAD
             }
             // Without its head each record still tells whether it belongs here.
@@ -403,12 +409,12 @@
                     if let Some(from) = bad.take() {
                         let (offset, bytes) = (from as u64, (at - from) as u64);
                         recovered.damage.push(Damage { segment, offset, bytes });
-                        hurt.push(segment);
+                        damaged_segments.push(segment);
                     }
                     at += RECORD_HEAD + payload.len();
                     sound = at;
                     recovered.records += 1;
-                    self.read_again(segment, head, payload, recovered, seen);
+                    self.replay_record(segment, head, payload, recovered, seen);
                 }
                 None => {
                     bad.get_or_insert(at);
@@ -427,13 +433,13 @@
                 recovered.torn = (damage.bytes > 0).then_some(damage);
                 if sound < SEGMENT_HEAD {
                     // Not even begun: its number is used again.
-                    mending.void.push(segment);
+                    repairs.void.push(segment);
                     return Ok(());
                 }
-                mending.cut = Some(sound as u64);
+                repairs.cut = Some(sound as u64);
             } else {
                 recovered.damage.push(damage);
-                hurt.push(segment);
+                damaged_segments.push(segment);
             }
         }
         self.segments.push_back(Segment { number: segment, bytes: sound as u64 });
@@ -449,7 +455,7 @@
         format::is_payload(&head, &bytes[at..], payload).then_some((head, payload))
     }
 
-    fn read_again(
+    fn replay_record(
         &mut self,
         segment: u64,
         head: format::Head,
@@ -480,7 +486,7 @@
     fn put(&mut self, key: Key, item: Item) {
         self.held += item.bytes;
         if let Some(base) = item.base {
-            self.based.entry(base).or_default().insert(key);
+            self.keys_by_base.entry(base).or_default().insert(key);
         }
         self.items.insert(key, item);
     }
@@ -498,17 +504,17 @@
         self.unbase(key, item);
         self.items.insert(key, Item { base, ..item });
         if let Some(base) = base {
-            self.based.entry(base).or_default().insert(key);
+            self.keys_by_base.entry(base).or_default().insert(key);
         }
     }
 
     fn unbase(&mut self, key: Key, item: Item) {
         if let Some(base) = item.base
-            && let Some(keys) = self.based.get_mut(&base)
+            && let Some(keys) = self.keys_by_base.get_mut(&base)
         {
             keys.remove(&key);
             if keys.is_empty() {
-                self.based.remove(&base);
+                self.keys_by_base.remove(&base);
             }
         }
     }
@@ -593,7 +599,7 @@
     /// Whether a next life may find an item, though the last commit failed: its beginning was written, or lies in a part
     /// that could not be cut off again.
     pub fn may_be_found(&self, key: Key) -> bool {
-        self.uncut || self.items.get(&key).is_some_and(|item| item.base.is_some())
+        self.may_hold_failed_write || self.items.get(&key).is_some_and(|item| item.base.is_some())
     }
 
     fn add(&mut self, kind: Kind, tag: u8, key: Key, payload: &[u8]) {
@@ -604,7 +610,7 @@
     /// was added since the last commit is promised, and the next one writes it again.
     pub fn commit(&mut self, now: Duration, image: &mut dyn FnMut(Key, &mut Vec<u8>)) -> io::Result<Step> {
         let mut step = Step::default();
-        self.uncut = false;
+        self.may_hold_failed_write = false;
         if self.waiting.is_empty() && self.unsynced.is_empty() && !self.manifest_behind {
             return Ok(step);
         }
@@ -613,7 +619,7 @@
         {
             return Err(too_long(record.key));
         }
-        self.move_on(added, image, &mut step)?;
+        self.move_open_items(added, image, &mut step)?;
         self.write(&mut step)?;
         self.sync(now, &mut step)?;
         self.retire(now, &mut step)?;
@@ -622,7 +628,7 @@
 
     /// Moves open items out of the oldest segment: more bytes than three times what is added, so that room comes back
     /// at least as fast as it goes.
-    fn move_on(
+    fn move_open_items(
         &mut self,
         added: u64,
         image: &mut dyn FnMut(Key, &mut Vec<u8>),
@@ -632,7 +638,9 @@
         let mut used = self.used() + added;
         while used > self.settings.most / 2 && most > 0 && self.segments.len() > 1 {
             let Some(oldest) = self.segments.front().map(|segment| segment.number) else { break };
-            let Some(key) = self.based.get(&oldest).and_then(|keys| keys.first().copied()) else { break };
+            let Some(key) = self.keys_by_base.get(&oldest).and_then(|keys| keys.first().copied()) else {
+                break;
+            };
             let record = self.whole(key, image)?;
             let bytes = record.bytes();
             most = most.saturating_sub(bytes);
@@ -651,8 +659,10 @@
     pub fn compact(&mut self, now: Duration, image: &mut dyn FnMut(Key, &mut Vec<u8>)) -> io::Result<Step> {
         let mut step = self.commit(now, image)?;
         let Some(newest) = self.segments.back().map(|segment| segment.number) else { return Ok(step) };
-        self.roll()?;
-        while let Some((&oldest, keys)) = self.based.first_key_value().filter(|(base, _)| **base <= newest) {
+        self.start_segment()?;
+        while let Some((&oldest, keys)) =
+            self.keys_by_base.first_key_value().filter(|(base, _)| **base <= newest)
+        {
             let keys: Vec<Key> = keys.iter().copied().collect();
             for key in keys {
                 let record = self.whole(key, image)?;
@@ -661,7 +671,7 @@
                 self.base_on(key, None);
                 self.waiting.push(record);
             }
-            debug_assert!(!self.based.contains_key(&oldest));
+            debug_assert!(!self.keys_by_base.contains_key(&oldest));
             self.write(&mut step)?;
             if self.settings.durability != Durability::Process {
                 self.sync_now(now, &mut step)?;
@@ -689,7 +699,7 @@
             let record = &self.waiting[done];
             let newest = self.segments.back().map_or(u64::MAX, |segment| segment.bytes);
             let fits = newest.saturating_add(record.bytes()) <= self.settings.segment;
-            if self.file.is_none() || self.spoilt || !fits {
+            if self.file.is_none() || self.needs_new_segment || !fits {
                 // What lies in the segments before stays there.
                 let lies = self.waiting.drain(..done);
                 match self.settings.durability {
@@ -697,7 +707,7 @@
                     _ => self.unsynced.extend(lies),
                 }
                 done = 0;
-                self.roll()?;
+                self.start_segment()?;
                 continue;
             }
             // As many as go into this segment, in one write.
@@ -717,9 +727,9 @@
             let file = self.file.as_mut().expect("rolled");
             if let Err(e) = self.store.append_all(file, &buffer) {
                 // What came of it is cut off again, or the next record goes elsewhere.
-                self.spoilt = self.store.truncate(file, start).is_err();
-                self.uncut = self.spoilt;
-                if self.spoilt {
+                self.needs_new_segment = self.store.truncate(file, start).is_err();
+                self.may_hold_failed_write = self.needs_new_segment;
+                if self.needs_new_segment {
                     // This segment ends at its last sync: what came since goes again as well.
                     let again = std::mem::take(&mut self.unsynced);
                     self.waiting.splice(0..0, again);
@@ -749,9 +759,9 @@
 
     /// Begins the next segment. The one before is synced first where that was promised: later ones must not be found
     /// without it.
-    fn roll(&mut self) -> io::Result<()> {
+    fn start_segment(&mut self) -> io::Result<()> {
         let syncs = self.settings.durability != Durability::Process;
-        if syncs && !self.spoilt && self.file.is_some() {
+        if syncs && !self.needs_new_segment && self.file.is_some() {
             self.sync_file()?;
         }
         let before = self.sound;
@@ -766,7 +776,7 @@
         self.used += SEGMENT_HEAD as u64;
         self.file = Some(file);
         self.sound = SEGMENT_HEAD as u64;
-        self.spoilt = false;
+        self.needs_new_segment = false;
         Ok(())
     }
 
@@ -793,7 +803,7 @@
         if let Err(e) = self.store.sync(file) {
             // The disk content is undefined after a failed sync, and a later sync may succeed without having written it.
             // All records since the last good sync are written again to a new segment and ignored in this one.
-            self.spoilt = true;
+            self.needs_new_segment = true;
             let again = std::mem::take(&mut self.unsynced);
             self.waiting.splice(0..0, again);
             return Err(e);
@@ -806,7 +816,7 @@
     /// Removes the oldest segments that hold the base of no open item.
     fn retire(&mut self, now: Duration, step: &mut Step) -> io::Result<()> {
         let newest = self.segments.back().map_or(0, |segment| segment.number);
-        let first = self.based.first_key_value().map_or(newest, |(first, _)| *first).min(newest);
+        let first = self.keys_by_base.first_key_value().map_or(newest, |(first, _)| *first).min(newest);
         let old = self.segments.iter().take_while(|segment| segment.number < first).count();
         if old == 0 && !self.manifest_behind {
             return Ok(());
