--- a/crates/sender/src/poll_schedule.rs
+++ b/crates/sender/src/poll_schedule.rs
@@ -7,8 +7,8 @@
 //! in the moment after that counts as published to a sender that has begun to pause.
 //!
 //! The capacity of discovery is not known, but since it processes queries sequentially, the response time
-//! shows how long a round of the whole fleet has to be. A fleet whose own round is shorter uses that round
-//! instead.
+//! shows how long a round of the whole fleet has to be. A fleet whose own round is shorter adopts this
+//! longer one.
 //!
 //! A change counts as published to a sender whose last query failed some seconds after discovery had it and
 //! was reachable. So a failed query is retried within that time, less the response time. Two signs show that
