--- a/crates/admission/src/budget.rs
+++ b/crates/admission/src/budget.rs
@@ -1,7 +1,7 @@
-//! Descriptors as one budget, dealt out by tokens that give themselves back.
+//! One budget of file descriptors, handed out as tokens that are released when dropped.
 //!
-//! Each purpose has a share that nobody else can take and may use more while the rest is not needed. So retries
-//! towards gateways can't starve the accept queue, nor that the retries, and neither the log.
+//! Each purpose has a guaranteed share and may use more while others don't need theirs. So retries to gateways can't
+//! starve the accept queue, the accept queue can't starve the retries, and neither can starve the log.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -9,11 +9,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Purpose {
     Client,
-    /// Connections that wait in the accept queue for a place.
+    /// Connections that wait in the accept queue.
     Accept,
     Gateway,
-    /// The log, the list, the notices and the standard streams.
-    House,
+    /// The sender's own files: the log, the list, the notices and the standard streams.
+    Internal,
 }
 
 const PURPOSES: usize = 4;
@@ -24,23 +24,23 @@
             Purpose::Client => 0,
             Purpose::Accept => 1,
             Purpose::Gateway => 2,
-            Purpose::House => 3,
+            Purpose::Internal => 3,
         }
     }
 }
 
-/// What a purpose is sure of, and what it may use at most.
+/// How many descriptors each purpose is guaranteed, and how many it may use at most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shares {
-    pub least: [usize; PURPOSES],
-    pub most: [usize; PURPOSES],
+    pub guaranteed: [usize; PURPOSES],
+    pub max: [usize; PURPOSES],
 }
 
 impl Shares {
     pub fn new(of: impl Fn(Purpose) -> (usize, usize)) -> Shares {
-        let mut shares = Shares { least: [0; PURPOSES], most: [0; PURPOSES] };
-        for purpose in [Purpose::Client, Purpose::Accept, Purpose::Gateway, Purpose::House] {
-            (shares.least[purpose.index()], shares.most[purpose.index()]) = of(purpose);
+        let mut shares = Shares { guaranteed: [0; PURPOSES], max: [0; PURPOSES] };
+        for purpose in [Purpose::Client, Purpose::Accept, Purpose::Gateway, Purpose::Internal] {
+            (shares.guaranteed[purpose.index()], shares.max[purpose.index()]) = of(purpose);
         }
         shares
     }
@@ -55,17 +55,17 @@
 }
 
 impl Counts {
-    /// What is promised to others and not yet used by them.
+    /// Guaranteed descriptors that the other purposes don't use yet.
     fn promised(&self, but: usize) -> usize {
-        let left = |at: usize| self.shares.least[at].saturating_sub(self.used[at]);
+        let left = |at: usize| self.shares.guaranteed[at].saturating_sub(self.used[at]);
         (0..PURPOSES).filter(|at| *at != but).map(left).sum()
     }
 
     fn take(&mut self, at: usize) -> bool {
         let used: usize = self.used.iter().sum();
-        let own = self.used[at] < self.shares.least[at];
+        let own = self.used[at] < self.shares.guaranteed[at];
         let free = used + self.promised(at) < self.total;
-        let fits = self.used[at] < self.shares.most[at] && used < self.total && (own || free);
+        let fits = self.used[at] < self.shares.max[at] && used < self.total && (own || free);
         if fits {
             self.used[at] += 1;
         } else {
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug)]
 pub struct Budget(Arc<Mutex<Counts>>);
 
-/// The right to one descriptor; given back when dropped, by whatever way its holder ends.
+/// The right to open one descriptor; released when dropped, also when its holder panics.
 #[derive(Debug)]
 pub struct Token {
     counts: Arc<Mutex<Counts>>,
@@ -88,9 +88,9 @@
 
 impl Budget {
     /// # Panics
-    /// If more is promised than there is: that is a fault of whoever worked out the shares.
+    /// If the guaranteed shares exceed `total`, which is a bug in the caller.
     pub fn new(total: usize, shares: Shares) -> Budget {
-        let promised: usize = shares.least.iter().sum();
+        let promised: usize = shares.guaranteed.iter().sum();
         assert!(promised <= total, "{promised} descriptors are promised of {total}");
         Budget(Arc::new(Mutex::new(Counts { total, shares, used: [0; PURPOSES], refused: [0; PURPOSES] })))
     }
@@ -99,7 +99,8 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn take(&self, purpose: Purpose) -> Option<Token> {
+    /// A token for one descriptor, or `None` if the purpose may have no more.
+    pub fn acquire(&self, purpose: Purpose) -> Option<Token> {
         let taken = self.lock().take(purpose.index());
         taken.then(|| Token { counts: Arc::clone(&self.0), purpose })
     }
@@ -108,11 +109,11 @@
         self.lock().used[purpose.index()]
     }
 
-    pub fn used_in_all(&self) -> usize {
+    pub fn total_used(&self) -> usize {
         self.lock().used.iter().sum()
     }
 
-    /// How often there was none for a purpose.
+    /// How often a purpose was refused a descriptor.
     pub fn refused(&self, purpose: Purpose) -> u64 {
         self.lock().refused[purpose.index()]
     }
@@ -123,8 +124,8 @@
         self.purpose
     }
 
-    /// The same descriptor for another purpose, if that has room; otherwise the token as it was.
-    pub fn pass_on(mut self, purpose: Purpose) -> Result<Token, Token> {
+    /// Moves the descriptor to another purpose if that one has room; otherwise returns the token unchanged.
+    pub fn transfer(mut self, purpose: Purpose) -> Result<Token, Token> {
         let (from, to) = (self.purpose.index(), purpose.index());
         let moved = {
             let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/scale/src/roles/senders.rs
+++ b/crates/scale/src/roles/senders.rs
@@ -6,7 +6,7 @@
 use crate::target;
 use crate::{About, Reading, Role};
 use indigomast::api::*;
-use indigomast::chance::Chance;
+use indigomast::rng::Rng;
 use indigomast::rules::Rules;
 use indigomast::time::{Moment, Span};
 use indigomast_sender::poll_schedule::{PollSchedule, Reply};
@@ -50,8 +50,8 @@
 
     fn measure(&self, size: f64, seed: u64, meter: &Meter) -> Result<Vec<Reading>, String> {
         let size = size as usize;
-        let (asked, asked_most) = questions(size, false, Reply::Told);
-        let (_, renewed_most) = questions(size, true, Reply::Told);
+        let (asked, asked_most) = questions(size, false, Reply::Listed);
+        let (_, renewed_most) = questions(size, true, Reply::Listed);
         let (_, broken_most) = questions(size, false, Reply::Broken);
         let mark = meter.mark();
         let fleet = Fleet::new(size, ListedRate::Exact, seed);
@@ -97,16 +97,16 @@
         let (mut turns, mut now) = (PollSchedule::new(start, number, senders, TERM), start);
         let end = start + Duration::from_secs(60);
         if renewed {
-            turns.asks(now);
-            turns.renewed(now, TERM);
+            turns.record_query(now);
+            turns.restart_soon(now, TERM);
         }
         while now < end {
             now += turns.wait(now);
             asked.push((now - start).as_millis() as u32);
-            turns.asks(now);
+            turns.record_query(now);
             // A question that is watched is held until something changes: one a second here.
             now += Duration::from_millis(if turns.watches() { 1000 } else { 1 });
-            turns.answered(now, reply);
+            turns.record_reply(now, reply);
         }
     }
     asked.sort_unstable();
@@ -147,7 +147,7 @@
                 units: UNITS,
                 condition: Condition::Running,
             };
-            rules.step(now, vec![Event::Listed { scope: Scope::Complete, entries: vec![entry] }]);
+            rules.step(now, vec![Event::ListReceived { scope: Scope::Complete, entries: vec![entry] }]);
             rules
         };
         Fleet {
@@ -162,13 +162,13 @@
 
     fn text(&mut self, sender: usize) {
         let handed = self.handed(sender);
-        self.coming[sender].push(Event::Taken(handed));
+        self.coming[sender].push(Event::Accepted(handed));
     }
 
-    fn handed(&mut self, sender: usize) -> Handed {
+    fn handed(&mut self, sender: usize) -> AcceptedText {
         self.next += 1;
         self.held[sender] += 1;
-        Handed {
+        AcceptedText {
             text: TextId(self.next),
             product: ProductId(0),
             dest: DestId(0),
@@ -191,7 +191,7 @@
             let ended = events.iter().filter(ended).count();
             delivered += ended;
             self.held[sender] -= ended;
-            events.push(Event::Woken);
+            events.push(Event::TimerFired);
             for action in self.senders[sender].step(self.now, events) {
                 match action {
                     Action::Submit { text, endpoint, .. } => {
@@ -206,7 +206,7 @@
                     Action::Nack { text, .. } | Action::Undeliverable { text } => {
                         self.held[sender] -= 1;
                         self.numbers[sender].remove(&text);
-                        self.coming[sender].push(Event::Told(text));
+                        self.coming[sender].push(Event::EndReported(text));
                         self.text(sender);
                     }
                     _ => {}
@@ -227,9 +227,9 @@
 /// Every sender has a text for what is down, which came by and by or to all in one moment.
 fn full(size: usize, listed_rate: ListedRate, spread: bool, seed: u64) -> Full {
     let mut fleet = Fleet::new(size, listed_rate, seed);
-    let mut chance = Chance::new(seed);
+    let mut chance = Rng::new(seed);
     let mut comes: Vec<(usize, usize)> = (0..size)
-        .map(|sender| (if spread { (chance.share() * KNOWN as f64) as usize } else { 0 }, sender))
+        .map(|sender| (if spread { (chance.next_f64() * KNOWN as f64) as usize } else { 0 }, sender))
         .collect();
     comes.sort_unstable();
     let mut comes = comes.into_iter().peekable();
@@ -265,7 +265,7 @@
     let mut left = 0;
     for sender in (0..size).step_by(one_in) {
         let handed = fleet.handed(sender);
-        fleet.coming[sender].push(Event::Resumed(handed, Past::default()));
+        fleet.coming[sender].push(Event::Resumed(handed, SubmitHistory::default()));
         left += 1;
     }
     let mut calls = Vec::new();
@@ -286,14 +286,14 @@
 /// Texts come to an average destination of the fleet, which is down.
 fn average(size: usize, seed: u64) -> Average {
     let mut fleet = Fleet::new(size, ListedRate::Exact, seed);
-    let (mut chance, mut due, mut calls) = (Chance::new(seed), 0.0, 0);
+    let (mut chance, mut due, mut calls) = (Rng::new(seed), 0.0, 0);
     let mut had = vec![false; size];
     for step in 0..LONG {
         while due <= step as f64 * STEP.as_secs() {
-            let sender = (chance.share() * size as f64) as usize;
+            let sender = (chance.next_f64() * size as f64) as usize;
             had[sender] = true;
             fleet.text(sender);
-            due += -(1.0 - chance.share()).ln() / A_DESTINATION;
+            due += -(1.0 - chance.next_f64()).ln() / A_DESTINATION;
         }
         calls += fleet.step(false).0;
     }
--- a/crates/sender/benches/owed.rs
+++ b/crates/sender/benches/owed.rs
@@ -1,12 +1,14 @@
-//! What a text costs in the journal as the sender uses it: taken on, submitted once, ended, each of them written before
-//! the next; the longest of these writes; the next start; bytes.
+//! Measures the cost of a text in the journal: it is accepted, submitted once and ended, and each step is
+//! flushed before the next. Reports the time per text, the slowest flush, the recovery time, and the bytes on
+//! disk and in memory.
 //!
-//! `cargo bench -p indigomast-sender --bench owed`, on a folder under the target directory. Texts of 212 bytes; once all
-//! are held, each round ends the oldest and take on another. An argument gives the numbers of held texts.
+//! Run with `cargo bench -p indigomast-sender --bench owed`; it writes to a folder under the target
+//! directory. Texts have 212 bytes. Once all are held, each round ends the oldest and accepts another.
+//! Arguments give the numbers of held texts.
 
 use indigomast::time::Moment;
 use indigomast_sender::limits::{Grant, Limits};
-use indigomast_sender::wal::{TextInfo, Wal};
+use indigomast_sender::text_journal::{TextInfo, TextJournal};
 use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
 use std::time::Instant;
@@ -18,7 +20,7 @@
     path
 }
 
-/// Enough memory, and as much disk as the number of texts asks for with a half to spare.
+/// Enough memory, and the disk space that this many texts need plus half of it in reserve.
 fn limits(texts: usize) -> Limits {
     let disk_mb = (texts as f64 * 2200.0 / 1e6).max(3.0);
     let limits = Limits::of(Grant::new(4 << 20, 1024, disk_mb));
@@ -55,12 +57,12 @@
 fn measure(texts: usize) {
     let (path, limits, now) = (folder(), limits(texts), Moment::from_millis(1e12));
     let before = resident();
-    let mut wal = Wal::open(&path, &limits, now).expect("opens");
+    let mut journal = TextJournal::open(&path, &limits, now).expect("opens");
     let mut held = VecDeque::new();
     for at in 0..texts {
-        held.push_back(wal.take(info(at), vec![7; 212].into(), now).expect("room"));
+        held.push_back(journal.accept(info(at), vec![7; 212].into(), now).expect("room"));
         if at % 50 == 0 {
-            wal.flush().expect("written");
+            journal.flush().expect("written");
         }
     }
     let memory = resident().saturating_sub(before) / texts as u64;
@@ -68,27 +70,27 @@
     let mut times = Vec::with_capacity(3 * rounds);
     let began = Instant::now();
     for round in 0..rounds {
-        let mut timed = |wal: &mut Wal, work: &mut dyn FnMut(&mut Wal)| {
+        let mut timed = |journal: &mut TextJournal, work: &mut dyn FnMut(&mut TextJournal)| {
             let began = Instant::now();
-            work(wal);
-            wal.flush().expect("written");
+            work(journal);
+            journal.flush().expect("written");
             times.push(began.elapsed().as_secs_f64() * 1e6);
         };
         let text = *held.back().expect("many");
-        timed(&mut wal, &mut |wal| wal.submitted(text, now, "zone-a"));
+        timed(&mut journal, &mut |journal| journal.record_submit(text, now, "zone-a"));
         let oldest = held.pop_front().expect("many");
-        timed(&mut wal, &mut |wal| wal.ended(oldest, None));
-        timed(&mut wal, &mut |wal| {
-            held.push_back(wal.take(info(texts + round), vec![7; 212].into(), now).expect("room"));
+        timed(&mut journal, &mut |journal| journal.record_end(oldest, None));
+        timed(&mut journal, &mut |journal| {
+            held.push_back(journal.accept(info(texts + round), vec![7; 212].into(), now).expect("room"));
         });
     }
     let each = began.elapsed().as_secs_f64() * 1e6 / rounds as f64;
     let disk = used(&path) / texts as u64;
-    drop(wal);
+    drop(journal);
     let began = Instant::now();
-    let wal = Wal::open(&path, &limits, now).expect("opens");
+    let journal = TextJournal::open(&path, &limits, now).expect("opens");
     let recovery = began.elapsed().as_secs_f64() * 1e3;
-    assert_eq!(wal.owed().len(), texts);
+    assert_eq!(journal.outstanding().len(), texts);
     times.sort_by(f64::total_cmp);
     let (p99, longest) = (times[times.len() * 99 / 100], times[times.len() - 1]);
     println!("{texts:>9} {each:>10.1} {p99:>8.1} {longest:>11.1} {recovery:>12.1} {disk:>10} {memory:>10}");
--- a/crates/sender/src/answer.rs
+++ b/crates/sender/src/answer.rs
@@ -10,33 +10,33 @@
     pub verdict: Verdict,
     /// The answer may have been another call's.
     pub in_doubt: bool,
-    pub told_wait: Option<Span>,
+    pub retry_after: Option<Span>,
     pub ended: bool,
     pub allowance: Option<Allowance>,
 }
 
 impl From<Verdict> for Answered {
     fn from(verdict: Verdict) -> Answered {
-        Answered { verdict, in_doubt: false, told_wait: None, ended: false, allowance: None }
+        Answered { verdict, in_doubt: false, retry_after: None, ended: false, allowance: None }
     }
 }
 
 /// More seconds than any process lives, which points in time can still hold.
 const LONGEST_TOLD: f64 = 1e9;
 
-pub fn told_wait(head: &AnswerHead) -> Option<Span> {
+pub fn retry_after(head: &AnswerHead) -> Option<Span> {
     let seconds: f64 = head.headers.get("retry-after")?.parse().ok()?;
     (seconds.is_finite() && seconds > 0.0).then(|| Span::from_millis(seconds.min(LONGEST_TOLD) * 1000.0))
 }
 
 /// What the receiver tells of its limit; what can't be read is as good as not told.
 fn allowance(head: &AnswerHead) -> Option<Allowance> {
-    let mut found = Allowance { share_left: 0.0, calls_per_sec: f64::NAN };
+    let mut found = Allowance { remaining_share: 0.0, calls_per_sec: f64::NAN };
     let sane = |value: &f64| (0.0..=1e6).contains(value);
     for (name, value) in head.headers.get("x-server-load")?.split(',').filter_map(|f| f.split_once('=')) {
         let value = value.trim().parse::<f64>().ok().filter(sane)?;
         match name.trim() {
-            "x0" => found.share_left = value,
+            "x0" => found.remaining_share = value,
             "x1" => found.calls_per_sec = value,
             _ => {}
         }
@@ -64,8 +64,8 @@
         // Nobody promised that anything else means it never ran.
         _ => (Verdict::Error, false),
     };
-    let told_wait = told_wait(head).filter(|_| verdict == Verdict::Full);
-    Answered { verdict, in_doubt: false, told_wait, ended, allowance: allowance(head) }
+    let retry_after = retry_after(head).filter(|_| verdict == Verdict::Full);
+    Answered { verdict, in_doubt: false, retry_after, ended, allowance: allowance(head) }
 }
 
 /// What is left of an answer that may have been written to another call: it may have run, however it was turned away, but
@@ -85,7 +85,7 @@
         Some("used_up") => (Verdict::Moot, false),
         _ => (Verdict::Error, false),
     };
-    Answered { verdict, in_doubt: false, told_wait: told_wait(head), ended, allowance: allowance(head) }
+    Answered { verdict, in_doubt: false, retry_after: retry_after(head), ended, allowance: allowance(head) }
 }
 
 #[cfg(test)]
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -2,10 +2,10 @@
 
 use crate::figures::Ends;
 use crate::limits::{ClientRules, Grant, JournalRules, Limits};
-use crate::list::{self, Listing, Source};
+use crate::list::{self, EndpointList, ListSource};
 use crate::notices::Reporter;
 use crate::versions;
-use indigomast_site::{BootInfo, Complaint, Names, read};
+use indigomast_site::{BootInfo, Complaint, Names, parse_json};
 use rustix::process::{Resource, getrlimit};
 use serde::Deserialize;
 use serde_json::Value;
@@ -36,7 +36,7 @@
     pub seed: u64,
     pub limits: Limits,
     pub site: Site,
-    pub known: Listing,
+    pub known: EndpointList,
     /// What the file it came from says, but not its values.
     pub keys: Keys,
     /// Tells it from other files.
@@ -48,7 +48,7 @@
     /// The platform's discovery, which is told as well.
     Platform(SocketAddr),
     Own {
-        source: Box<dyn Source>,
+        source: Box<dyn ListSource>,
         reporter: Box<dyn Reporter>,
     },
 }
@@ -90,11 +90,11 @@
         }
         let names: Vec<String> = info.categories.iter().map(|category| category.name.clone()).collect();
         Ok(Site {
-            products: Names::of(names.clone()),
+            products: Names::from_list(names.clone()),
             ends: names.iter().map(|_| Arc::default()).collect(),
             references: names,
-            kinds: Names::of(info.kinds.clone()),
-            zones: Names::of(info.localities.clone()),
+            kinds: Names::from_list(info.kinds.clone()),
+            zones: Names::from_list(info.localities.clone()),
             connect_time: time(info.ceilings.connect_timeout_ms, "connect-timeout-ms")?,
             keeps_alive: time(info.ceilings.keepalive_ms, "keepalive-ms")?,
             info,
@@ -218,7 +218,7 @@
     discovery: SocketAddr,
     seed: String,
     limits: Grant,
-    known: list::Page,
+    known: list::ListResponse,
     settings: BootInfo,
     /// Not among what a platform sends; for installations of one's own.
     #[serde(default)]
@@ -250,7 +250,7 @@
     }
 
     fn read(text: &str, state: PathBuf, control: Option<SocketAddr>) -> Result<Config, Complaint> {
-        let file: File = read(text)?;
+        let file: File = parse_json(text)?;
         let control = control.or(file.control);
         let seed = u64::from_str_radix(&file.seed, 16).map_err(|e| format!("seed: {:?}: {e}", file.seed))?;
         let site = Site::of(file.settings).map_err(|e| format!("settings.{e}"))?;
@@ -259,7 +259,7 @@
         let limits = site.limits(grant)?;
         let limits = limits.with_clients(file.clients).map_err(|e| format!("clients.{e}"))?;
         let limits = limits.with_journal(file.journal).map_err(|e| format!("journal.{e}"))?;
-        let known = Listing::of(file.known, &site, &limits).map_err(|e| format!("known.{e}"))?;
+        let known = EndpointList::of(file.known, &site, &limits).map_err(|e| format!("known.{e}"))?;
         Ok(Config {
             name: file.name,
             listen: file.listen,
--- a/crates/sender/src/limits.rs
+++ b/crates/sender/src/limits.rs
@@ -142,7 +142,7 @@
     /// The journal's files, and what the texts at hand may take of them and of the memory.
     pub journal: indigomast_journal::Settings,
     pub log_texts: u64,
-    /// Kept free in the journal for what is still to be written of a text.
+    /// AuxiliaryRecord free in the journal for what is still to be written of a text.
     pub log_reserve: u64,
     /// How long a start waits for the process before to let go of the journal.
     pub lock_wait: Duration,
@@ -253,13 +253,14 @@
         let disk = (grant.disk_mb.clamp(0.0, 1e9) * 1e6) as u64;
         let name = 128;
         let (submits, longest_name) = (grant.submits.max(1), grant.longest_name);
-        let log_reserve = crate::wal::reserve(submits, longest_name);
+        let log_reserve = crate::text_journal::reserve_bytes(submits, longest_name);
         // The rest is for the lock, the manifests, and what the platform counts of each file beyond its end.
         // All of it is read at a start, so there is no more than twice what texts may take: room that a large disk would have
         // beside that saves a little moving of texts, and costs every restart.
         let files = (disk / 16 * 15).min(memory / 2);
         // A small disk has room for short texts only.
-        let beside = crate::wal::longest_payload(0, name, longest_name, longest_name) + log_reserve as usize;
+        let beside =
+            crate::text_journal::longest_payload(0, name, longest_name, longest_name) + log_reserve as usize;
         let body =
             indigomast_journal::Settings::longest_within(files).saturating_sub(beside).min(64 << 10) as u64;
         let journal = indigomast_journal::Settings::within(files, beside + body as usize);
@@ -355,12 +356,12 @@
             stop_beat: Duration::from_millis(20),
             last_answers: Duration::from_millis(150),
             connections: Settings {
-                places: clients,
+                max_connections: clients,
                 known_for: Span::millis(3_600_000),
-                new_at_once: 50.0,
-                addresses: 4096,
-                pause: Span::millis(500),
-                grace: Span::millis(100),
+                new_burst: 50.0,
+                max_remembered: 4096,
+                stalled_after: Span::millis(500),
+                first_request_grace: Span::millis(100),
                 ..Settings::default()
             },
             least_rate: 0.0,
@@ -370,7 +371,7 @@
                 Purpose::Client => (clients, clients + leaving),
                 Purpose::Accept => (accept_queue, accept_queue),
                 Purpose::Gateway => (links, links + leaving),
-                Purpose::House => (0, 0),
+                Purpose::Internal => (0, 0),
             }),
         }
     }
@@ -418,16 +419,16 @@
             return Err("addresses: 0 would forget every client at once".into());
         }
         self.connections = Settings {
-            reserve: rules.reserve,
-            per_address: rules.per_address,
-            per_prefix: rules.per_prefix,
-            new_a_second: rules.new_a_second,
-            new_at_once: rules.new_at_once,
-            reading: rules.reading,
+            reserved_for_known: rules.reserve,
+            max_per_address: rules.per_address,
+            max_per_prefix: rules.per_prefix,
+            new_per_second: rules.new_a_second,
+            new_burst: rules.new_at_once,
+            max_reading_per_address: rules.reading,
             prefixes: Prefixes { v4: rules.prefix_v4, v6: rules.prefix_v6 },
             known_for: Span::from_millis(rules.known_for_s * 1000.0),
-            named: rules.named,
-            addresses: rules.addresses,
+            always_known: rules.named,
+            max_remembered: rules.addresses,
             ..self.connections
         };
         self.least_rate = rules.least_rate;
--- a/crates/sender/tests/sender/edges.rs
+++ b/crates/sender/tests/sender/edges.rs
@@ -7,13 +7,13 @@
 use indigomast::api::*;
 use indigomast::rules::Rules;
 use indigomast::time::{Moment, Span};
-use indigomast_admission::{Budget, Number, Purpose, State, Worth};
+use indigomast_admission::{Budget, ConnectionNumber, Priority, Purpose, State};
 use indigomast_sender::clock::Clock;
 use indigomast_sender::config::{Config, InForce};
-use indigomast_sender::decider::Word;
+use indigomast_sender::decider::Message;
 use indigomast_sender::intake::{Intake, PendingConnection};
 use indigomast_sender::reactor::Session;
-use indigomast_sender::wal::Wal;
+use indigomast_sender::text_journal::TextJournal;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{ErrorKind, Read, Write};
@@ -68,18 +68,18 @@
                 continue; // Not to be seen: docs/crossings.md.
             }
             let folder = Folder::new();
-            let mut wal = Wal::open(&folder.state(), &limits(), begin).expect("opens");
-            let text = wal.take(info(0), vec![1; 8].into(), begin).expect("room");
-            wal.submitted(text, begin, "a");
-            wal.flush().expect("written");
-            drop(wal);
+            let mut journal = TextJournal::open(&folder.state(), &limits(), begin).expect("opens");
+            let text = journal.accept(info(0), vec![1; 8].into(), begin).expect("room");
+            journal.record_submit(text, begin, "a");
+            journal.flush().expect("written");
+            drop(journal);
             // By the true time and by the clock.
             let mut real = begin + Span::millis(gone);
             let off = Span::millis(back);
-            let wal = Wal::open(&folder.state(), &limits(), real - off).expect("opens");
-            let owed = &wal.owed()[&text];
+            let journal = TextJournal::open(&folder.state(), &limits(), real - off).expect("opens");
+            let owed = &journal.outstanding()[&text];
             let mut rules = Rules::new(settings(window), 1);
-            let handed = Handed {
+            let handed = AcceptedText {
                 text: TextId(text),
                 product: ProductId(0),
                 dest: DestId(0),
@@ -95,13 +95,13 @@
                 }
                 for action in rules.step(real - off, std::mem::take(&mut events)) {
                     match action {
-                        Action::Submit { leave_by, .. } => sent.push(leave_by + off),
+                        Action::Submit { send_deadline, .. } => sent.push(send_deadline + off),
                         Action::Nack { .. } | Action::Undeliverable { .. } => ended.push(real),
                         _ => {}
                     }
                 }
                 real += Span::millis(20);
-                events.push(Event::Woken);
+                events.push(Event::TimerFired);
             }
             let late: Vec<_> = sent.iter().filter(|by| **by > begin + window).collect();
             assert!(late.is_empty(), "set back by {back} ms in {gone} ms: may leave at {late:?}");
@@ -120,7 +120,7 @@
         units: 1.0,
         condition: Condition::Running,
     };
-    Event::Listed { scope: Scope::Complete, entries: vec![entry] }
+    Event::ListReceived { scope: Scope::Complete, entries: vec![entry] }
 }
 
 fn settings(memory: Span) -> Settings {
@@ -277,11 +277,11 @@
 
 /// An intake whose decider is the test, with room for one connection, which has it; nobody looks at it before the test has
 /// a reactor run. It is a new one, or one that rests after a text.
-fn intake(rests: bool) -> (Arc<Intake>, Receiver<Word>, TcpStream) {
+fn intake(rests: bool) -> (Arc<Intake>, Receiver<Message>, TcpStream) {
     let (_discovery, _endpoint, config, folder) = world();
     let Config { mut limits, site, .. } =
         Config::parse(&config.to_string(), folder.state()).expect("well-formed");
-    limits.connections.places = 1;
+    limits.connections.max_connections = 1;
     let (decider, words) = unbounded();
     let budget = Budget::new(limits.descriptors, limits.shares);
     let (clock, limits, site) = (Clock::start(), Arc::new(limits), Arc::new(InForce::new(site)));
@@ -289,11 +289,11 @@
         Arc::new(Intake::new(clock, limits, Arc::default(), site, decider, budget).expect("descriptors"));
     let (client, stream) = seat(&intake);
     if rests {
-        let number = Number(0);
-        let token = intake.budget.take(Purpose::Accept).expect("there are enough");
+        let number = ConnectionNumber(0);
+        let token = intake.budget.acquire(Purpose::Accept).expect("there are enough");
         let mut session = Box::new(Session::new(number, Arc::new(stream), token));
-        (session.begun, session.rests, session.proven) = (None, State::Resting, true);
-        intake.clients.enters(number, State::Resting);
+        (session.begun, session.rests, session.proven) = (None, State::Idle, true);
+        intake.clients.enters(number, State::Idle);
         assert!(intake.reactor.park(session, Instant::now() + PATIENCE).is_ok());
     }
     (intake, words, client)
@@ -306,9 +306,9 @@
     client.set_read_timeout(Some(PATIENCE)).expect("a time is set");
     let (stream, from) = listener.accept().expect("it came");
     let copy = stream.try_clone().expect("a descriptor");
-    let token = intake.budget.take(Purpose::Accept).expect("there are enough");
+    let token = intake.budget.acquire(Purpose::Accept).expect("there are enough");
     let pending = PendingConnection { stream, address: from.ip(), token, over: false };
-    assert!(intake.seat(pending, Worth::Text).is_none(), "there is room");
+    assert!(intake.seat(pending, Priority::Text).is_none(), "there is room");
     (client, copy)
 }
 
@@ -324,7 +324,7 @@
         let work = Arc::clone(&intake);
         let reactor = thread::spawn(move || work.reactor.run(&work));
         let seen = saw(&mut client, b"");
-        let handed = words.try_iter().any(|word| matches!(word, Word::HandIn(_)));
+        let handed = words.try_iter().any(|word| matches!(word, Message::HandIn(_)));
         assert_eq!((handed, seen), (false, expected), "rests: {rests}");
         intake.close(None);
         reactor.join().expect("no panic");
