--- a/crates/sender/src/decider.rs
+++ b/crates/sender/src/decider.rs
@@ -639,11 +639,7 @@
             let answer = if written { Ok(()) } else { Err(Refusal::NotNow) };
             let delivered = order.reply.try_send(answer).is_ok();
             if written && delivered {
-                log!(
-                    "{} is {} by an operator",
-                    order.endpoint,
-                    if order.out { "taken out of service" } else { "given back" }
-                );
+                log!("{} is {} by hand", order.endpoint, if order.out { "taken out" } else { "given back" });
                 continue;
             }
             let record = AuxiliaryRecord::Out { endpoint: order.endpoint.clone() };
--- a/crates/sender/src/text_journal.rs
+++ b/crates/sender/src/text_journal.rs
@@ -464,9 +464,7 @@
         }
         if !recovered.suspects.is_empty() {
             let count = recovered.suspects.len();
-            log!(
-                "{count} texts may have lost notes to the damage; the largest possible number of submits is assumed"
-            );
+            log!("{count} texts may have lost something to the damage and count as sent as often as may be");
         }
     }
 
